--- a/include/tealspar/call_pace.h
+++ b/include/tealspar/call_pace.h
@@ -1,7 +1,7 @@
 /**
- * Paces calls that read changes. Each call has its price, so changes that come close together are
- * read by one call; but a few that come after a rest are followed at once, as the next one may be a
- * configuration. Pure.
+ * Token bucket that limits how often the configuration service is called to read changes. Each call
+ * has a cost, so changes in quick succession are read in one batch. After an idle period a few
+ * calls are made without delay, because the next change may be a configuration. Does no I/O.
  */
 #ifndef TEALSPAR_CALL_PACE_H
 #define TEALSPAR_CALL_PACE_H
@@ -9,11 +9,11 @@
 #include "tealspar/clock.h"
 
 typedef struct ts_call_pace {
-    double calls;            /**< that may be made at once */
-    ts_time_us_t counted_us; /**< when `calls` was counted; 0: never */
+    double calls;            /**< calls that may be made without delay */
+    ts_time_us_t counted_us; /**< last refill; 0: never */
 } ts_call_pace_t;
 
-/** Some changes were read now; returns how long to wait before the next call, in microseconds. */
+/** Records that changes were read at `now_us`; returns the delay before the next call. */
 ts_time_us_t ts_call_pace_take(ts_call_pace_t *pace, ts_time_us_t now_us);
 
 #endif
--- a/include/tealspar/document_loader.h
+++ b/include/tealspar/document_loader.h
@@ -1,6 +1,7 @@
 /**
- * Loading of documents off the node's thread: checking 3,800 back ends takes tens of milliseconds,
- * for which queries must not stand still. One document at a time; the owner is told on its thread.
+ * Parses and validates configuration documents on a worker thread: validating 3,800 back ends takes
+ * tens of milliseconds, which would block queries on the node's thread. Documents are loaded one at
+ * a time; the callback runs on the node's thread.
  */
 #ifndef TEALSPAR_DOCUMENT_LOADER_H
 #define TEALSPAR_DOCUMENT_LOADER_H
@@ -10,21 +11,21 @@
 
 typedef struct ts_document_loader ts_document_loader_t;
 
-/** What came of one document. */
+/** Result of loading one document. */
 typedef struct ts_loaded_document {
-    uint64_t digest;                 /**< of the text */
-    uint64_t version;                /**< as it was announced; 0: by the platform */
-    ts_declarations_t *declarations; /**< one reference for the receiver; NULL when refused */
-    const ts_problems_t *problems;   /**< why it was refused; valid during the call */
+    uint64_t digest;                 /**< digest of the text */
+    uint64_t version;                /**< version announced by the peer; 0: from the platform */
+    ts_declarations_t *declarations; /**< the callee owns one reference; NULL if invalid */
+    const ts_problems_t *problems;   /**< validation errors; valid during the callback */
 } ts_loaded_document_t;
 
 typedef void (*ts_document_loaded_t)(void *context, const ts_loaded_document_t *document);
 
 ts_document_loader_t *ts_document_loader_create(ts_runtime_t *runtime, ts_document_loaded_t loaded,
                                                 void *context);
-/** Frees it; only when the runtime has stopped. */
+/** Call only after the runtime has stopped. */
 void ts_document_loader_destroy(ts_document_loader_t *loader);
-/** Loads a text, which is copied; one that is being loaded already is not loaded again. */
+/** Queues a copy of the text, unless the same text is already queued or being loaded. */
 void ts_document_loader_submit(ts_document_loader_t *loader, const char *text, size_t length,
                                uint64_t version);
 
--- a/include/tealspar/membership.h
+++ b/include/tealspar/membership.h
@@ -1,11 +1,11 @@
 /**
- * Membership by gossip: SWIM-style probes with suspicion, refutation by incarnation, and rumours
- * that are pushed eagerly to a few members and carried along on probes. Pure: the clock, the
- * network and the random seed are given, so that nodes, hollow fleets and fuzzers run the same
- * code.
+ * Gossip membership: SWIM-style probes with suspicion, refutation by incarnation number, and
+ * rumours (state updates) that are pushed to a few members at once and piggybacked on probes. The
+ * caller supplies the clock, the network and the random seed, so nodes, simulated fleets and
+ * fuzzers run the same code.
  *
- * Published ideas used: SWIM (Das, Gupta, Motivala 2002); self-doubt after a local pause as in
- * Lifeguard (Dadgar, Phillips, Currey 2018).
+ * Based on SWIM (Das, Gupta, Motivala 2002). As in Lifeguard (Dadgar, Phillips, Currey 2018), a
+ * node distrusts its own failure detector for a while after a local pause.
  */
 #ifndef TEALSPAR_MEMBERSHIP_H
 #define TEALSPAR_MEMBERSHIP_H
@@ -18,17 +18,20 @@
 
 typedef struct ts_membership ts_membership_t;
 
-/** What membership needs from its surroundings. */
+/** Callbacks implemented by the embedding task. */
 typedef struct ts_membership_ops {
-    /** Sends a packed gossip to a node. */
+    /** Sends a packed gossip message to a node. */
     void (*send)(void *context, const char *name, const char *address, const uint8_t *bytes,
                  size_t length);
-    /** Somebody's configuration in force was heard. */
+    /** A peer announced its active configuration. */
     void (*heard_config)(void *context, const char *name, const char *address, uint64_t version,
                          uint64_t digest);
-    /** The view has changed; called at most once a tick, and before a probe is answered. */
+    /**
+     * The view has changed. Called at most once per tick and, with `uses_barriers`, before a probe
+     * is acknowledged.
+     */
     void (*changed)(void *context);
-    /** A member changed its state; for logs. `old` is TS_MEMBER_DEAD for one that is new. */
+    /** A member changed state; for logging. `old` is TS_MEMBER_DEAD for a new member. */
     void (*member_changed)(void *context, const char *name, ts_member_state_t old,
                            ts_member_state_t state);
 } ts_membership_ops_t;
@@ -39,54 +42,60 @@
     const char *zone;
     uint64_t incarnation;
     uint64_t seed;
-    /** A connection that has gone silent is given up by the transport at the next message: a probe
-     * that is not answered goes to its target once more beside the indirect ones. */
-    bool probes_again;
-    /** A node that leaves asks all members whether they know it, see ts_membership_begin_barrier.
+    /**
+     * Resend an unanswered probe to its target along with the indirect probes. For a transport that
+     * closes an unresponsive connection only when the next message is sent.
      */
+    bool probes_again;
+    /** Run a barrier when this node leaves, see ts_membership_begin_barrier. */
     bool uses_barriers;
 } ts_membership_config_t;
 
-/** Time between probes; every limit below is a multiple of it. */
+/** Probe interval. */
 #define TS_MEMBERSHIP_PERIOD_US (1000ULL * TS_US_PER_MS)
-/** How often ts_membership_tick is to be called. */
+/** Interval at which ts_membership_tick must be called. */
 #define TS_MEMBERSHIP_TICK_US (100ULL * TS_US_PER_MS)
 
-/** Creates it; the texts of `config` are copied. */
+/** Copies the strings of `config`. */
 ts_membership_t *ts_membership_create(const ts_membership_config_t *config,
                                       const ts_membership_ops_t *ops, void *context,
                                       ts_time_us_t now_us);
 void ts_membership_destroy(ts_membership_t *membership);
-/** Does what is due. */
+/** Runs everything that is due: joining, probes, suspicion timeouts, retries, rumours. */
 void ts_membership_tick(ts_membership_t *membership, ts_time_us_t now_us);
-/** Takes a gossip from a node. Unreadable ones are dropped; returns whether it was readable. */
+/** Handles a gossip message from a node; returns false if it could not be unpacked. */
 bool ts_membership_receive(ts_membership_t *membership, const char *from_name,
                            const char *from_address, const uint8_t *bytes, size_t length,
                            ts_time_us_t now_us);
-/** A connection to a node ended: probe it at once. */
+/**
+ * Handles the end of a connection: probes the node immediately and shortens its suspicion timeout;
+ * a leaving node becomes dead.
+ */
 void ts_membership_peer_lost(ts_membership_t *membership, const char *name, ts_time_us_t now_us);
-/** Begins an update of the platform's list; machines not listed until the end are delisted. */
+/**
+ * Begins an update of the platform's machine list. Machines not added before
+ * ts_membership_end_machines are delisted.
+ */
 void ts_membership_begin_machines(ts_membership_t *membership);
-/** One machine of the platform's list: a seed; gossip decides on its state. */
+/** Adds one machine of the platform's list as a seed; its state is determined by gossip. */
 void ts_membership_add_machine(ts_membership_t *membership, const char *name, const char *address,
                                const char *zone);
 void ts_membership_end_machines(ts_membership_t *membership);
-/** The configuration in force here; told along with every gossip, and pushed when it changes. */
+/** Sets this node's active configuration, announced in every gossip message and pushed now. */
 void ts_membership_set_config(ts_membership_t *membership, uint64_t version, uint64_t digest);
-/** Announces that this node leaves; begins a barrier, if it uses them. */
+/** Announces that this node is leaving; begins a barrier if `uses_barriers` is set. */
 void ts_membership_leave(ts_membership_t *membership, ts_time_us_t now_us);
 /**
- * Begins a barrier: it is passed when each member has answered that it knows that this node leaves
- * and has handled all that was sent to it before, or after a second.
+ * Begins a barrier. It is passed once every member has acknowledged that it knows this node is
+ * leaving and has handled all earlier messages from it, or after one second.
  */
 void ts_membership_begin_barrier(ts_membership_t *membership, ts_time_us_t now_us);
-/** Whether the last barrier is passed. */
 bool ts_membership_is_barrier_passed(const ts_membership_t *membership, ts_time_us_t now_us);
-/** Whether another member has answered, or nobody else is known. */
+/** Whether another member has sent its member list, or no other member is known. */
 bool ts_membership_has_joined(const ts_membership_t *membership);
-/** A view as of now; the caller owns one reference. */
+/** Creates a view of the present members; the caller owns one reference. */
 ts_view_t *ts_membership_view(const ts_membership_t *membership);
-/** Members in a state, this node included. */
+/** Number of members in a state, including this node. */
 size_t ts_membership_count(const ts_membership_t *membership, ts_member_state_t state);
 
 #endif
--- a/include/tealspar/platform.h
+++ b/include/tealspar/platform.h
@@ -1,6 +1,6 @@
 /**
- * How the platform is read: its configuration and its list of machines. Another form is another
- * plug-in of kind TS_PLUGIN_PLATFORM and nothing else.
+ * Interface for reading the configuration and the machine list from the platform. Each protocol or
+ * format is a plug-in of kind TS_PLUGIN_PLATFORM.
  */
 #ifndef TEALSPAR_PLATFORM_H
 #define TEALSPAR_PLATFORM_H
@@ -8,19 +8,19 @@
 #include "tealspar/messages.h"
 #include "tealspar/node.h"
 
-/** A document was read, or why not; `text` is valid during the call, NULL when unchanged. */
+/** Receives a document or an error. `text` is valid during the call; NULL if unchanged. */
 typedef void (*ts_platform_document_t)(void *context, ts_error_t error, const char *text,
                                        size_t length);
-/** The list was read, or why not (`machines` NULL). The receiver owns the message. */
+/** Receives the machine list, or an error and NULL. The callee owns the message. */
 typedef void (*ts_platform_machines_t)(void *context, ts_error_t error,
                                        ts_machines_message_t *machines);
 
 typedef struct ts_platform {
-    /** Prepares reading for a node; gives a handle for the calls below. TS_OK or TS_E_ADDRESS. */
+    /** Creates a handle for the calls below. Returns TS_OK or TS_E_ADDRESS. */
     ts_error_t (*open)(void **handle, const ts_node_t *node);
-    /** Reads the configuration unless it still has the version `have`; one at a time. */
+    /** Reads the configuration unless its version is still `have`. One call at a time. */
     void (*read_document)(void *handle, uint64_t have, ts_platform_document_t done, void *context);
-    /** Reads the list of machines; one at a time. */
+    /** Reads the machine list. One call at a time. */
     void (*read_machines)(void *handle, ts_platform_machines_t done, void *context);
 } ts_platform_t;
 
--- a/include/tealspar/store_position.h
+++ b/include/tealspar/store_position.h
@@ -1,7 +1,7 @@
 /**
- * A point in the history of the configuration service. A service that has come back from an older
- * copy of itself gives revisions out again, in a higher epoch: positions are ordered by epoch, then
- * by revision.
+ * A position in the history of the configuration service. A service that was restored from an older
+ * backup reuses revision numbers in a higher epoch, so positions are ordered by epoch, then by
+ * revision.
  */
 #ifndef TEALSPAR_STORE_POSITION_H
 #define TEALSPAR_STORE_POSITION_H
@@ -10,32 +10,32 @@
 #include <stdint.h>
 
 typedef struct ts_store_position {
-    uint64_t epoch; /**< see ts_store_epoch */
+    uint64_t epoch; /**< internal epoch, see ts_store_epoch */
     uint64_t revision;
 } ts_store_position_t;
 
-/** Room below a told epoch for times that the service went back without telling. */
+/** Low bits of an internal epoch; they count restores that the service did not report. */
 #define TS_STORE_EPOCH_SHIFT 16U
 
-/** The first epoch of those that go by the number that the service tells; 0: it tells none. */
+/** First internal epoch for an epoch number reported by the service; 0: none is reported. */
 static inline uint64_t ts_store_epoch(uint64_t told)
 {
     return told << TS_STORE_EPOCH_SHIFT;
 }
 
-/** The number that the service tells in an epoch. */
+/** Epoch number reported by the service during an internal epoch. */
 static inline uint64_t ts_store_epoch_told(uint64_t epoch)
 {
     return epoch >> TS_STORE_EPOCH_SHIFT;
 }
 
-/** How often it went back since it told that number, without telling. */
+/** Number of unreported restores since the service first reported that number. */
 static inline uint64_t ts_store_epoch_resets(uint64_t epoch)
 {
     return epoch - ts_store_epoch(ts_store_epoch_told(epoch));
 }
 
-/** Below 0, 0, or above 0, as `a` lies before `b`, is it, or lies after it. */
+/** Compares like strcmp: negative, zero or positive if `a` is before, equal to or after `b`. */
 static inline int ts_store_position_compare(ts_store_position_t a, ts_store_position_t b)
 {
     if (a.epoch != b.epoch)
--- a/include/tealspar/store_precedence.h
+++ b/include/tealspar/store_precedence.h
@@ -1,30 +1,35 @@
 /**
- * Which of two entries of one key stands, when the configuration service may have come back from an
- * older copy. Pure; configurations are ordered by their version and are not judged here.
+ * Decides which of two entries of the same key is effective when the configuration service may have
+ * been restored from an older backup. Stateless. Configurations are ordered by their version and
+ * are not handled here.
  */
 #ifndef TEALSPAR_STORE_PRECEDENCE_H
 #define TEALSPAR_STORE_PRECEDENCE_H
 
 #include "tealspar/dialect.h"
 
-/** What is known of the present epoch. */
+/** State of the current epoch. */
 typedef struct ts_store_restore {
     uint64_t epoch;
-    uint64_t base;   /**< entries changed above this revision were written in it */
-    bool is_holding; /**< writers have not yet had the time to write again */
+    uint64_t base;   /**< entries changed at a higher revision were written in this epoch */
+    bool is_holding; /**< writers may still be writing again what the restore lost */
 } ts_store_restore_t;
 
 typedef enum ts_store_verdict {
-    TS_STORE_TAKE,      /**< the new one stands */
-    TS_STORE_PASS_OVER, /**< the known one stands */
-    TS_STORE_HOLD,      /**< the known one stands, until the time to write again is over */
-    TS_STORE_RECALL     /**< the same with the new one, which is of an earlier epoch */
+    TS_STORE_TAKE,      /**< the new entry becomes effective */
+    TS_STORE_PASS_OVER, /**< the new entry is discarded */
+    TS_STORE_HOLD,      /**< the new entry is set aside until the grace period ends */
+    TS_STORE_RECALL     /**< the new entry, of an earlier epoch, becomes effective and the known one
+                           is set aside until the grace period ends */
 } ts_store_verdict_t;
 
-/** `entry` has come while `known` stands; both of one key, of kind instance or evacuation. */
+/**
+ * Decides between `known`, the effective entry, and the new `entry`. Both have the same key and are
+ * of kind TS_STORE_INSTANCE or TS_STORE_EVACUATION.
+ */
 ts_store_verdict_t ts_store_judge(const ts_dialect_t *dialect, const ts_store_restore_t *restore,
                                   const ts_store_entry_t *known, const ts_store_entry_t *entry);
-/** Whether both hold the same value, or are both gone. */
+/** Whether both entries have the same value or are both deleted. */
 bool ts_store_is_same(const ts_store_entry_t *a, const ts_store_entry_t *b);
 
 #endif
--- a/include/tealspar/store_watch.h
+++ b/include/tealspar/store_watch.h
@@ -1,6 +1,7 @@
 /**
- * Keeps the configuration and the registry up to date from the configuration service: lists all
- * entries once, then waits for changes; lists again when the service has forgotten its history.
+ * Keeps the mirror up to date from the configuration service: lists all entries once, then watches
+ * for changes with long polls. Lists again when the service no longer has the requested history or
+ * was restored from an older backup.
  */
 #ifndef TEALSPAR_STORE_WATCH_H
 #define TEALSPAR_STORE_WATCH_H
@@ -8,11 +9,10 @@
 #include "tealspar/gateway.h"
 
 ts_store_watch_t *ts_store_watch_create(ts_gateway_t *gateway);
-/** Begins to read. */
 void ts_store_watch_start(ts_store_watch_t *watch);
-/** The settings changed. */
 /** Whether the last call failed. */
 bool ts_store_watch_is_lost(const ts_store_watch_t *watch);
+/** Applies changed settings (the service's address). */
 void ts_store_watch_reload(ts_store_watch_t *watch);
 
 #endif
--- a/include/tealspar/view.h
+++ b/include/tealspar/view.h
@@ -1,6 +1,6 @@
 /**
- * A view of the members of the cluster: immutable, counted by references, made by membership and
- * used by fronts and brokers to agree on who owns which back end.
+ * An immutable, reference-counted snapshot of the cluster members, created by membership. Fronts
+ * and brokers use it to agree on which node owns each back end.
  */
 #ifndef TEALSPAR_VIEW_H
 #define TEALSPAR_VIEW_H
@@ -14,13 +14,12 @@
 typedef enum ts_member_state {
     TS_MEMBER_LIVE,
     TS_MEMBER_SUSPECT, /**< missed probes; counts as live until declared dead */
-    TS_MEMBER_LEAVING, /**< stopping on purpose: owns nothing, still answers */
-    TS_MEMBER_DEAD     /**< declared dead, or gone after leaving */
+    TS_MEMBER_LEAVING, /**< shutting down: owns no back ends but still answers */
+    TS_MEMBER_DEAD     /**< declared dead, or left */
 } ts_member_state_t;
 
 const char *ts_member_state_name(ts_member_state_t state);
 
-/** One member in a view. */
 typedef struct ts_view_member {
     char *name;
     char *address; /**< "IP:port" for nodes */
@@ -33,25 +32,28 @@
 
 typedef struct ts_view {
     int references;
-    ts_view_member_t *members; /**< sorted by name; dead ones are left out */
+    ts_view_member_t *members; /**< sorted by name, without dead members */
     size_t count;
-    bool has_quorum; /**< a majority of this node's zone is heard */
-    /** Grows whenever others may have believed this node dead, and so owned what it owns. */
+    bool has_quorum; /**< this node can reach a majority of its zone */
+    /**
+     * Incremented whenever other nodes may have considered this one dead and taken over the back
+     * ends it owns.
+     */
     uint64_t standing;
 } ts_view_t;
 
-/** Makes an empty view for `capacity` members. */
+/** Creates an empty view with room for `capacity` members. */
 ts_view_t *ts_view_create(size_t capacity);
-/** Adds a member; texts are copied. Call in order of name, at most `capacity` times. */
+/** Adds a member and copies its strings. Call in order of name, at most `capacity` times. */
 void ts_view_add(ts_view_t *view, const char *name, const char *address, const char *zone,
                  uint64_t incarnation, ts_member_state_t state, bool is_self);
 ts_view_t *ts_view_ref(ts_view_t *view);
 void ts_view_unref(ts_view_t *view);
 
 /**
- * The member that owns a back end: the highest rendezvous weight among the members of the back
- * end's zone that may own (live or suspect), or among all members that may when the zone has none.
- * Returns NULL when no member may own. The same view gives the same owner everywhere.
+ * Returns the owner of a back end: the eligible (live or suspect) member of the back end's zone
+ * with the highest rendezvous weight or, if the zone has none, of all zones. NULL if no member is
+ * eligible. Nodes with the same view compute the same owner.
  */
 const ts_view_member_t *ts_view_owner(const ts_view_t *view, const ts_backend_t *backend);
 
--- a/src/control/configuration.c
+++ b/src/control/configuration.c
@@ -1,7 +1,8 @@
 /**
- * The configuration task: takes documents from the platform and from nodes, accepts one only as a
- * whole and never a lower version, and puts it in force. A node that starts first hears which
- * version its peers have, so that a stale platform cannot bring an old one back.
+ * The configuration task: receives documents from the platform and from peers, accepts one only if
+ * all of it is valid and its version is not lower than the active one, and activates it. A starting
+ * node first waits to learn which versions its peers have, so that a stale platform cannot bring
+ * back an old one.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -15,43 +16,43 @@
 #include "tealspar/node.h"
 
 #define TICK_MS 100
-/* A tick that comes later than this was late because the process stood still. */
-#define TICK_COUNTS_MOST_US (150 * TS_US_PER_MS)
-/* How long a starting node waits for its peers before it believes the platform alone. */
-#define JOIN_WAIT_US (3000ULL * TS_US_PER_MS)
-/* After the first peer is heard, others may have something newer: listen to them for this time. */
-#define HEARING_US (500ULL * TS_US_PER_MS)
-/* A newer version that was heard of and cannot be had from anybody is given up after this time. */
-#define GIVE_UP_US (20ULL * TS_US_PER_S)
-/* A document asked for and not given is asked for again, of whoever is heard next. */
-#define FETCH_RETRY_US (500ULL * TS_US_PER_MS)
+/* A tick adds at most this to `listen_time_us`; a longer gap means that the process was stalled. */
+#define TICK_CREDIT_MAX_US (150 * TS_US_PER_MS)
+/* How long a starting node that hears no peer waits before it trusts the platform alone. */
+#define PEER_WAIT_US (3000ULL * TS_US_PER_MS)
+/* How long to wait after the first peer's announcement: others may have a newer version. */
+#define PEER_SETTLE_US (500ULL * TS_US_PER_MS)
+/* An announced newer version that no peer delivers is no longer waited for after this time. */
+#define NEWER_VERSION_WAIT_US (20ULL * TS_US_PER_S)
+/* After this time a document that has not arrived is requested from the next announcing peer. */
+#define FETCH_RETRY_INTERVAL_US (500ULL * TS_US_PER_MS)
 
 typedef struct configuration {
     ts_node_t *node;
     ts_task_t *task;
     ts_task_t *mesh;
-    ts_declarations_t *declarations;
-    ts_declarations_t *held; /* valid, from the platform, waiting for the join */
-    uint64_t refused_digest; /* the refused document, so that it is reported once */
+    ts_declarations_t *declarations; /* active; NULL until one is accepted */
+    ts_declarations_t *pending;      /* valid, but may not be accepted yet */
+    uint64_t refused_digest;         /* last refused document, so that it is reported only once */
     uint64_t refused_version;
     char *refused_reason;
     ts_document_loader_t *loader;
-    uint64_t highest_heard;
-    uint64_t fetching_version; /* asked for and not given yet */
+    uint64_t highest_peer_version;
+    uint64_t requested_version; /* requested from a peer, not received yet */
     /*
-     * Time in which this node could hear its peers: a process that stood still has not listened, so
-     * each tick counts for little more than its own length.
+     * Time during which this node could receive announcements. A stalled process receives none, so
+     * each tick adds little more than the tick interval.
      */
-    ts_time_us_t listened_us;
-    ts_time_us_t ticked_us; /* when the last tick was */
-    bool has_heard;         /* some peer's version */
+    ts_time_us_t listen_time_us;
+    ts_time_us_t last_tick_us;
+    bool has_peer_version; /* some peer has announced a version */
     bool has_platform_answered;
-    ts_time_us_t first_heard_us; /* `listened_us` when a peer's version was first heard */
-    ts_time_us_t fetch_after_us;
+    ts_time_us_t first_peer_version_us; /* `listen_time_us` at the first announcement */
+    ts_time_us_t next_fetch_us;
     ts_timer_t timer;
 } configuration_t;
 
-/* Tells all who work by the declarations; the observer is there in simulations only. */
+/* Sends the active declarations to the other tasks; `observer` exists only in simulations. */
 static void broadcast(const configuration_t *configuration)
 {
     static const char *const receivers[] = {"front", "broker", "platform", "membership",
@@ -64,7 +65,7 @@
     }
 }
 
-static void put_in_force(configuration_t *configuration, ts_declarations_t *declarations)
+static void activate(configuration_t *configuration, ts_declarations_t *declarations)
 {
     ts_declarations_unref(configuration->declarations);
     configuration->declarations = declarations;
@@ -78,30 +79,30 @@
 }
 
 /*
- * Whether a valid document replaces the one in force: a higher version does; of two documents under
- * one version the one with the higher digest wins, everywhere alike.
+ * Returns TS_OK if a valid document replaces the active one: the higher version wins. If two
+ * documents have the same version, the higher digest wins, so that all nodes choose the same one.
  */
-static ts_error_t compare_with_accepted(const configuration_t *configuration,
-                                        const ts_declarations_t *declarations)
+static ts_error_t compare_with_active(const configuration_t *configuration,
+                                      const ts_declarations_t *declarations)
 {
-    const ts_declarations_t *accepted = configuration->declarations;
-    if (accepted == NULL || declarations->version > accepted->version) {
+    const ts_declarations_t *active = configuration->declarations;
+    if (active == NULL || declarations->version > active->version) {
         return TS_OK;
     }
-    if (declarations->version < accepted->version) {
+    if (declarations->version < active->version) {
         return TS_E_STALE_VERSION;
     }
-    if (declarations->digest == accepted->digest) {
+    if (declarations->digest == active->digest) {
         return TS_E_STALE_VERSION;
     }
     ts_count_error(TS_E_VERSION_CLASH);
     ts_log(TS_EVENT_CONFIG_CLASH, "version %" PRIu64 " has digests %016" PRIx64 " and %016" PRIx64,
-           accepted->version, accepted->digest, declarations->digest);
-    return declarations->digest > accepted->digest ? TS_OK : TS_E_VERSION_CLASH;
+           active->version, active->digest, declarations->digest);
+    return declarations->digest > active->digest ? TS_OK : TS_E_VERSION_CLASH;
 }
 
-static void note_refusal(configuration_t *configuration, uint64_t digest, uint64_t version,
-                         const ts_problems_t *problems)
+static void record_refusal(configuration_t *configuration, uint64_t digest, uint64_t version,
+                           const ts_problems_t *problems)
 {
     if (configuration->refused_digest == digest) {
         return;
@@ -116,59 +117,59 @@
 
 static bool is_known(const configuration_t *configuration, uint64_t digest)
 {
-    bool is_accepted =
+    bool is_active =
         configuration->declarations != NULL && configuration->declarations->digest == digest;
-    bool is_held = configuration->held != NULL && configuration->held->digest == digest;
-    return is_accepted || is_held || configuration->refused_digest == digest;
+    bool is_pending = configuration->pending != NULL && configuration->pending->digest == digest;
+    return is_active || is_pending || configuration->refused_digest == digest;
 }
 
 /*
- * Whether the platform may be believed: a peer that has a configuration was heard, and it has no
- * newer one; or there was time enough for one to be heard. Peers that have none prove nothing: they
- * may have started together with this node.
+ * Whether a document can be accepted already: a peer has announced its version and none was newer,
+ * or there was enough time for an announcement. Peers without a configuration prove nothing, as
+ * they may have started together with this node.
  */
-static bool may_accept(const configuration_t *configuration, const ts_declarations_t *declarations)
+static bool can_accept(const configuration_t *configuration, const ts_declarations_t *declarations)
 {
-    ts_time_us_t span_us = configuration->listened_us;
-    bool is_newest = declarations->version >= configuration->highest_heard;
+    ts_time_us_t waited_us = configuration->listen_time_us;
+    bool is_newest = declarations->version >= configuration->highest_peer_version;
     if (configuration->declarations != NULL) {
-        return true; /* compared with what is in force */
+        return true; /* was compared with the active one */
     }
-    if (is_newest && configuration->has_heard) {
-        return span_us - configuration->first_heard_us > HEARING_US;
+    if (is_newest && configuration->has_peer_version) {
+        return waited_us - configuration->first_peer_version_us > PEER_SETTLE_US;
     }
     if (is_newest) {
-        return span_us > JOIN_WAIT_US;
+        return waited_us > PEER_WAIT_US;
     }
-    return span_us > GIVE_UP_US;
+    return waited_us > NEWER_VERSION_WAIT_US;
 }
 
-/* Keeps the newest of the documents that may not be accepted yet. */
-static void hold(configuration_t *configuration, ts_declarations_t *declarations)
+/* Keeps the newest of the documents that cannot be accepted yet. */
+static void keep_pending(configuration_t *configuration, ts_declarations_t *declarations)
 {
-    ts_declarations_t *held = configuration->held;
-    if (held != NULL && held->version > declarations->version) {
+    ts_declarations_t *pending = configuration->pending;
+    if (pending != NULL && pending->version > declarations->version) {
         ts_declarations_unref(declarations);
         return;
     }
-    ts_declarations_unref(held);
-    configuration->held = declarations;
+    ts_declarations_unref(pending);
+    configuration->pending = declarations;
 }
 
-static void consider(configuration_t *configuration, ts_declarations_t *declarations)
+static void accept_or_keep(configuration_t *configuration, ts_declarations_t *declarations)
 {
-    ts_error_t error = compare_with_accepted(configuration, declarations);
+    ts_error_t error = compare_with_active(configuration, declarations);
     if (error != TS_OK) {
         ts_count(TS_COUNTER_CONFIG_STALE, 1);
         ts_declarations_unref(declarations);
-    } else if (may_accept(configuration, declarations)) {
-        put_in_force(configuration, declarations);
+    } else if (can_accept(configuration, declarations)) {
+        activate(configuration, declarations);
     } else {
-        hold(configuration, declarations);
+        keep_pending(configuration, declarations);
     }
 }
 
-static void take_text(const configuration_t *configuration, const ts_document_message_t *message)
+static void submit_text(const configuration_t *configuration, const ts_document_message_t *message)
 {
     if (!is_known(configuration, ts_hash_bytes(message->text, message->length))) {
         ts_document_loader_submit(configuration->loader, message->text, message->length,
@@ -176,22 +177,23 @@
     }
 }
 
-static void take_loaded(void *context, const ts_loaded_document_t *document)
+static void handle_loaded(void *context, const ts_loaded_document_t *document)
 {
     configuration_t *configuration = context;
     if (document->declarations == NULL) {
-        note_refusal(configuration, document->digest, document->version, document->problems);
+        record_refusal(configuration, document->digest, document->version, document->problems);
     } else {
-        consider(configuration, document->declarations);
+        accept_or_keep(configuration, document->declarations);
     }
 }
 
-static void give_document(const configuration_t *configuration, const ts_document_message_t *wish)
+static void send_document(const configuration_t *configuration,
+                          const ts_document_message_t *request)
 {
     if (configuration->declarations == NULL) {
         return;
     }
-    ts_document_message_t *message = ts_document_message(wish->peer_name, wish->peer_address);
+    ts_document_message_t *message = ts_document_message(request->peer_name, request->peer_address);
     message->version = configuration->declarations->version;
     message->text =
         g_strndup(configuration->declarations->text, configuration->declarations->text_length);
@@ -199,76 +201,79 @@
     ts_task_send(configuration->mesh, &message->head);
 }
 
-static bool is_wanted(const configuration_t *configuration, uint64_t version, uint64_t digest)
+static bool should_fetch(const configuration_t *configuration, uint64_t version, uint64_t digest)
 {
-    const ts_declarations_t *accepted = configuration->declarations;
-    if (accepted == NULL && configuration->held != NULL &&
-        configuration->held->version >= version) {
+    const ts_declarations_t *active = configuration->declarations;
+    if (active == NULL && configuration->pending != NULL &&
+        configuration->pending->version >= version) {
         return false;
     }
-    if (accepted == NULL || version > accepted->version) {
+    if (active == NULL || version > active->version) {
         return configuration->refused_digest != digest;
     }
-    return version == accepted->version && digest > accepted->digest;
+    return version == active->version && digest > active->digest;
 }
 
-static void try_held(configuration_t *configuration)
+static void retry_pending(configuration_t *configuration)
 {
-    ts_declarations_t *held = configuration->held;
-    if (held == NULL || !may_accept(configuration, held)) {
+    ts_declarations_t *pending = configuration->pending;
+    if (pending == NULL || !can_accept(configuration, pending)) {
         return;
     }
-    configuration->held = NULL;
-    consider(configuration, held);
+    configuration->pending = NULL;
+    accept_or_keep(configuration, pending);
 }
 
-/* Somebody has said which version it has: ask for it if it is newer. */
-static void take_announcement(configuration_t *configuration, const ts_document_message_t *message)
+/* Handles a peer's announcement of its version; requests the document if it is newer. */
+static void handle_announcement(configuration_t *configuration,
+                                const ts_document_message_t *message)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    configuration->highest_heard = MAX(configuration->highest_heard, message->version);
-    if (!configuration->has_heard) {
-        configuration->has_heard = true;
-        configuration->first_heard_us = configuration->listened_us;
+    configuration->highest_peer_version =
+        MAX(configuration->highest_peer_version, message->version);
+    if (!configuration->has_peer_version) {
+        configuration->has_peer_version = true;
+        configuration->first_peer_version_us = configuration->listen_time_us;
     }
-    try_held(configuration);
-    if (!is_wanted(configuration, message->version, message->digest) ||
-        (now_us < configuration->fetch_after_us &&
-         message->version <= configuration->fetching_version)) {
+    retry_pending(configuration);
+    if (!should_fetch(configuration, message->version, message->digest) ||
+        (now_us < configuration->next_fetch_us &&
+         message->version <= configuration->requested_version)) {
         return;
     }
-    configuration->fetching_version = message->version;
-    configuration->fetch_after_us = now_us + FETCH_RETRY_US;
-    ts_document_message_t *wish = ts_document_message(message->peer_name, message->peer_address);
-    wish->wanted = true;
-    ts_task_send(configuration->mesh, &wish->head);
+    configuration->requested_version = message->version;
+    configuration->next_fetch_us = now_us + FETCH_RETRY_INTERVAL_US;
+    ts_document_message_t *request = ts_document_message(message->peer_name, message->peer_address);
+    request->wanted = true;
+    ts_task_send(configuration->mesh, &request->head);
 }
 
 /*
- * The platform answers for the first time. Its list of machines comes with it: before, this node
- * may have known nobody to listen to, so the wait for its peers begins now.
+ * Restarts the wait for peers at the platform's first answer. The machine list arrives with it;
+ * until then this node may have known no peers that could send announcements.
  */
-static void note_platform(configuration_t *configuration)
+static void record_platform_answer(configuration_t *configuration)
 {
-    if (!configuration->has_platform_answered && !configuration->has_heard) {
-        configuration->listened_us = 0;
+    if (!configuration->has_platform_answered && !configuration->has_peer_version) {
+        configuration->listen_time_us = 0;
     }
     configuration->has_platform_answered = true;
 }
 
-static void take_document(configuration_t *configuration, const ts_document_message_t *message)
+static void handle_document(configuration_t *configuration, const ts_document_message_t *message)
 {
     if (message->text != NULL && message->peer_name == NULL) {
-        note_platform(configuration);
+        record_platform_answer(configuration);
     }
     if (message->text != NULL) {
-        configuration->fetch_after_us = ts_clock_now_us() + FETCH_RETRY_US; /* it is checked now */
+        /* Do not request the document again while it is being validated. */
+        configuration->next_fetch_us = ts_clock_now_us() + FETCH_RETRY_INTERVAL_US;
         ts_count(TS_COUNTER_CONFIG_FROM_PEER, message->peer_name != NULL);
-        take_text(configuration, message);
+        submit_text(configuration, message);
     } else if (message->wanted) {
-        give_document(configuration, message);
+        send_document(configuration, message);
     } else {
-        take_announcement(configuration, message);
+        handle_announcement(configuration, message);
     }
 }
 
@@ -276,17 +281,17 @@
 {
     configuration_t *configuration = timer->data;
     ts_time_us_t now_us = ts_clock_now_us();
-    ts_time_us_t since_us = now_us - configuration->ticked_us;
-    configuration->ticked_us = now_us;
-    configuration->listened_us += MIN(since_us, TICK_COUNTS_MOST_US);
-    try_held(configuration);
+    ts_time_us_t elapsed_us = now_us - configuration->last_tick_us;
+    configuration->last_tick_us = now_us;
+    configuration->listen_time_us += MIN(elapsed_us, TICK_CREDIT_MAX_US);
+    retry_pending(configuration);
 }
 
 static void handle_message(void *state, ts_message_t *message)
 {
     configuration_t *configuration = state;
     if (message->type == TS_MESSAGE_DOCUMENT) {
-        take_document(configuration, (ts_document_message_t *)message);
+        handle_document(configuration, (ts_document_message_t *)message);
     }
 }
 
@@ -295,8 +300,8 @@
     configuration_t *configuration = g_new0(configuration_t, 1);
     ts_node_set_state(node, "configuration", configuration);
     configuration->node = node;
-    configuration->ticked_us = ts_clock_now_us();
-    configuration->loader = ts_document_loader_create(node->runtime, take_loaded, configuration);
+    configuration->last_tick_us = ts_clock_now_us();
+    configuration->loader = ts_document_loader_create(node->runtime, handle_loaded, configuration);
     configuration->task =
         ts_task_create(node->tasks, "configuration", handle_message, configuration);
     return TS_OK;
@@ -314,12 +319,12 @@
 static void describe_configuration(ts_node_t *node, json_t *status)
 {
     const configuration_t *configuration = ts_node_state(node, "configuration");
-    const ts_declarations_t *accepted = configuration->declarations;
+    const ts_declarations_t *active = configuration->declarations;
     json_t *view = json_object();
     json_object_set_new(view, "version",
-                        json_integer(accepted == NULL ? 0 : (json_int_t)accepted->version));
+                        json_integer(active == NULL ? 0 : (json_int_t)active->version));
     char digest[20];
-    g_snprintf(digest, sizeof(digest), "%016" PRIx64, accepted == NULL ? 0 : accepted->digest);
+    g_snprintf(digest, sizeof(digest), "%016" PRIx64, active == NULL ? 0 : active->digest);
     json_object_set_new(view, "digest", json_string(digest));
     if (configuration->refused_reason != NULL) {
         json_object_set_new(view, "refused", json_string(configuration->refused_reason));
@@ -331,7 +336,7 @@
 {
     configuration_t *configuration = ts_node_state(node, "configuration");
     ts_declarations_unref(configuration->declarations);
-    ts_declarations_unref(configuration->held);
+    ts_declarations_unref(configuration->pending);
     ts_document_loader_destroy(configuration->loader);
     g_free(configuration->refused_reason);
     g_free(configuration);
@@ -341,4 +346,4 @@
     open_configuration,     start_configuration, NULL, NULL,
     describe_configuration, close_configuration};
 TS_REGISTER_PLUGIN(configuration_plugin, TS_PLUGIN_TASK, "configuration", 4, &configuration_ops,
-                   "accepts declarations and puts them in force")
+                   "accepts declarations and activates them")
--- a/src/control/document_loader.c
+++ b/src/control/document_loader.c
@@ -1,10 +1,10 @@
-/** Loading of documents off the node's thread. */
+/** Loads configuration documents on a worker thread. */
 #include "tealspar/document_loader.h"
 
 #include "tealspar/hash.h"
 
-/* Documents that may wait; beyond that the oldest is dropped, as newer ones come after it. */
-#define WAITING_MAX 4U
+/* Maximum number of queued documents; then the oldest is dropped, as the later ones are newer. */
+#define QUEUE_MAX 4U
 
 typedef struct load_job {
     ts_document_loader_t *loader;
@@ -20,8 +20,8 @@
     ts_runtime_t *runtime;
     ts_document_loaded_t loaded;
     void *context;
-    load_job_t *current; /* being loaded, or NULL */
-    GQueue *waiting;     /* of load_job_t */
+    load_job_t *current; /* NULL: idle */
+    GQueue *queue;       /* of load_job_t */
 };
 
 static void free_job(void *context)
@@ -40,17 +40,17 @@
     loader->runtime = runtime;
     loader->loaded = loaded;
     loader->context = context;
-    loader->waiting = g_queue_new();
+    loader->queue = g_queue_new();
     return loader;
 }
 
 void ts_document_loader_destroy(ts_document_loader_t *loader)
 {
-    g_queue_free_full(loader->waiting, free_job);
+    g_queue_free_full(loader->queue, free_job);
     g_free(loader);
 }
 
-/* Runs on another thread: touches nothing but the job. */
+/* Runs on a worker thread; must not access anything but the job. */
 static void load(void *context)
 {
     load_job_t *job = context;
@@ -64,7 +64,7 @@
     load_job_t *job = context;
     ts_document_loader_t *loader = job->loader;
     ts_loaded_document_t document = {job->digest, job->version, job->declarations, &job->problems};
-    job->declarations = NULL; /* moved */
+    job->declarations = NULL; /* ownership moves to the callee */
     loader->current = NULL;
     loader->loaded(loader->context, &document);
     free_job(job);
@@ -73,19 +73,19 @@
 
 static void start_next(ts_document_loader_t *loader)
 {
-    if (loader->current != NULL || g_queue_is_empty(loader->waiting)) {
+    if (loader->current != NULL || g_queue_is_empty(loader->queue)) {
         return;
     }
-    loader->current = g_queue_pop_head(loader->waiting);
+    loader->current = g_queue_pop_head(loader->queue);
     ts_runtime_work(loader->runtime, load, finish, free_job, loader->current);
 }
 
-static bool is_in_hand(const ts_document_loader_t *loader, uint64_t digest)
+static bool is_queued(const ts_document_loader_t *loader, uint64_t digest)
 {
     if (loader->current != NULL && loader->current->digest == digest) {
         return true;
     }
-    for (const GList *item = loader->waiting->head; item != NULL; item = item->next) {
+    for (const GList *item = loader->queue->head; item != NULL; item = item->next) {
         if (((const load_job_t *)item->data)->digest == digest) {
             return true;
         }
@@ -97,11 +97,11 @@
                                uint64_t version)
 {
     uint64_t digest = ts_hash_bytes(text, length);
-    if (is_in_hand(loader, digest)) {
+    if (is_queued(loader, digest)) {
         return;
     }
-    if (loader->waiting->length >= WAITING_MAX) {
-        free_job(g_queue_pop_head(loader->waiting));
+    if (loader->queue->length >= QUEUE_MAX) {
+        free_job(g_queue_pop_head(loader->queue));
     }
     load_job_t *job = g_new0(load_job_t, 1);
     job->loader = loader;
@@ -110,6 +110,6 @@
     job->digest = digest;
     job->version = version;
     ts_problems_init(&job->problems);
-    g_queue_push_tail(loader->waiting, job);
+    g_queue_push_tail(loader->queue, job);
     start_next(loader);
 }
--- a/src/control/membership.c
+++ b/src/control/membership.c
@@ -1,4 +1,4 @@
-/** Membership by gossip: the members, the beat, and the interface. */
+/** Gossip membership: the member table, the periodic tick and the public functions. */
 #include "membership_internal.h"
 
 #include "tealspar/counters.h"
@@ -9,19 +9,23 @@
 #define SUSPICION_BASE_US (3200ULL * TS_US_PER_MS)
 #define SUSPICION_PER_DECADE_US (600.0 * TS_US_PER_MS)
 #define PUSH_FANOUT 4U
-#define PUSH_DRAWS 8U
+#define PUSH_TARGET_ATTEMPTS 8U
 #define RUMOUR_SENDS_BASE 3.0
 #define RUMOUR_SENDS_PER_DECADE 3.0
 #define DEAD_RETRY_US (5ULL * TS_US_PER_S)
-/* One node is asked at a time: each answers with the whole fleet, so that more would make those
- * that all starting nodes know the busiest of a large fleet. Another is asked with the next tick.
+/*
+ * A joining node asks one node at a time: each answers with the full member list, and asking
+ * several would overload the seeds that all starting nodes know. The next retry asks another node.
  */
 #define JOIN_RETRY_US (250ULL * TS_US_PER_MS)
-#define JOIN_PEERS 1U
-#define SYNC_GAP_FIRST_US (1ULL * TS_US_PER_S)
-/* A tick that comes this late means that the process stood still: doubt oneself first. */
-#define STALL_BOUND_US (1000ULL * TS_US_PER_MS)
-#define DOUBT_US (3ULL * TS_US_PER_S)
+#define JOIN_FANOUT 1U
+#define SYNC_INTERVAL_MIN_US (1ULL * TS_US_PER_S)
+/*
+ * If the clock advances by more than this between calls, this process was stalled. Other members
+ * are not suspected for a while then, since their answers may just not have been read.
+ */
+#define STALL_THRESHOLD_US (1000ULL * TS_US_PER_MS)
+#define SUSPICION_PAUSE_US (3ULL * TS_US_PER_S)
 
 uint64_t ts_member_next_random(ts_membership_t *m)
 {
@@ -53,25 +57,24 @@
     return g_hash_table_lookup(m->members, name);
 }
 
-unsigned ts_member_sends_for_rumour(const ts_membership_t *m)
+unsigned ts_member_rumour_limit(const ts_membership_t *m)
 {
     double decades = log10((double)g_hash_table_size(m->members) + 1.0);
     return (unsigned)(RUMOUR_SENDS_BASE + RUMOUR_SENDS_PER_DECADE * decades);
 }
 
-static ts_time_us_t suspicion_span(const ts_membership_t *m)
+static ts_time_us_t suspicion_timeout(const ts_membership_t *m)
 {
     double decades = log10((double)g_hash_table_size(m->members) + 1.0);
     return SUSPICION_BASE_US + (ts_time_us_t)(SUSPICION_PER_DECADE_US * decades);
 }
 
-static void spread(ts_membership_t *m, member_t *member)
+static void queue_rumour(ts_membership_t *m, member_t *member)
 {
-    member->rumour_sends = ts_member_sends_for_rumour(m);
-    m->push_due = true;
+    member->rumour_sends_left = ts_member_rumour_limit(m);
+    m->is_push_due = true;
 }
 
-/* The one place where a member's state changes. */
 void ts_member_set_state(ts_membership_t *m, member_t *member, ts_member_state_t state,
                          uint64_t incarnation)
 {
@@ -80,15 +83,15 @@
     member->has_left = state == TS_MEMBER_LEAVING || (member->has_left && !is_return);
     member->incarnation = incarnation;
     member->state = state;
-    member->since_us = m->now_us;
-    member->suspicion_us = suspicion_span(m);
-    member->is_reconfirmed = false;
+    member->state_since_us = m->now_us;
+    member->suspicion_timeout_us = suspicion_timeout(m);
+    member->has_final_probe = false;
     m->is_digest_known = false;
-    spread(m, member);
+    queue_rumour(m, member);
     bool has_died = state == TS_MEMBER_DEAD && (old == TS_MEMBER_LIVE || old == TS_MEMBER_SUSPECT);
     ts_count(TS_COUNTER_MEMBER_DEATHS, has_died);
     if (old != state) {
-        m->is_changed = true;
+        m->is_view_changed = true;
         m->ops.member_changed(m->context, member->name, old, state);
     }
 }
@@ -101,10 +104,10 @@
     member->address = g_strdup(address);
     member->zone = g_strdup(zone);
     member->state = TS_MEMBER_DEAD;
-    member->since_us = m->now_us;
+    member->state_since_us = m->now_us;
     g_hash_table_insert(m->members, member->name, member);
     g_ptr_array_add(m->order, member);
-    if (m->order->len > 1) { /* to a random place in the round */
+    if (m->order->len > 1) { /* insert at a random position */
         guint other = (guint)(ts_member_next_random(m) % m->order->len);
         gpointer swapped = m->order->pdata[other];
         m->order->pdata[other] = member;
@@ -119,41 +122,41 @@
     g_hash_table_remove(m->members, member->name);
 }
 
-/* ---- joining, healing, pushing ---- */
+/* ---- joining, healing partitions, pushing rumours ---- */
 
 /*
- * Asks a few members for all they know: of this zone first, and of another with every second try,
- * as the only ones of this zone may be standing still.
+ * Requests the full member list. Every second attempt prefers a member of another zone, as all
+ * other nodes of this zone may be stalled.
  */
-static void ask_to_join(ts_membership_t *m)
+static void request_join(ts_membership_t *m)
 {
     if (m->has_joined || m->now_us < m->next_join_us) {
         return;
     }
     m->next_join_us = m->now_us + JOIN_RETRY_US;
-    unsigned asked = 0;
-    bool is_own_first = m->rounds % 2 == 0;
+    unsigned requests_sent = 0;
+    bool is_own_zone_first = m->rounds % 2 == 0;
     guint begin = m->rounds / 2;
     for (int pass = 0; pass < 2; pass++) {
-        bool wants_own = (pass == 0) == is_own_first;
-        for (guint i = 0; i < m->order->len && asked < JOIN_PEERS; i++) {
+        bool wants_own_zone = (pass == 0) == is_own_zone_first;
+        for (guint i = 0; i < m->order->len && requests_sent < JOIN_FANOUT; i++) {
             const member_t *member = g_ptr_array_index(m->order, (begin + i) % m->order->len);
-            if (member != m->self && ts_member_is_same_zone(m, member) == wants_own) {
+            if (member != m->self && ts_member_is_same_zone(m, member) == wants_own_zone) {
                 ts_member_send_gossip(m, member->name, member->address, GOSSIP_SYNC_REQUEST, 0,
                                       NULL);
-                asked++;
+                requests_sent++;
             }
         }
     }
     m->rounds++;
-    if (m->has_list && m->order->len == 1) {
-        m->has_joined = true; /* nobody else is known */
-        m->is_changed = true;
+    if (m->has_machine_list && m->order->len == 1) {
+        m->has_joined = true; /* no other member is known */
+        m->is_view_changed = true;
     }
 }
 
-/* Tries a listed member that is believed dead, so that a healed partition is noticed. */
-static void retry_dead(ts_membership_t *m)
+/* Probes a listed member that is considered dead, to detect that a partition has healed. */
+static void probe_dead_member(ts_membership_t *m)
 {
     if (m->now_us < m->next_dead_retry_us) {
         return;
@@ -164,7 +167,8 @@
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, (begin + i) % m->order->len);
         if (member->state == TS_MEMBER_DEAD && member->is_listed) {
-            member->rumour_sends = MAX(member->rumour_sends, 1U); /* lets it refute its death */
+            /* The probe carries the rumour, so that the member can refute it. */
+            member->rumour_sends_left = MAX(member->rumour_sends_left, 1U);
             ts_member_send_gossip(m, member->name, member->address, GOSSIP_PING, ++m->sequence,
                                   NULL);
             return;
@@ -172,11 +176,14 @@
     }
 }
 
-/* Anybody, or somebody of this zone if a few draws find one: links between zones are dear. */
-static const member_t *choose_push_target(ts_membership_t *m, bool may_be_far)
+/*
+ * Picks a random member. Unless `may_cross_zones` is set, retries a few times to get one of this
+ * zone, because traffic between zones is expensive.
+ */
+static const member_t *choose_push_target(ts_membership_t *m, bool may_cross_zones)
 {
     const member_t *member = ts_member_choose_random(m, NULL);
-    for (unsigned i = 0; i < PUSH_DRAWS && !may_be_far && member != NULL; i++) {
+    for (unsigned i = 0; i < PUSH_TARGET_ATTEMPTS && !may_cross_zones && member != NULL; i++) {
         if (ts_member_is_same_zone(m, member)) {
             break;
         }
@@ -187,10 +194,10 @@
 
 static void push_rumours(ts_membership_t *m)
 {
-    if (!m->push_due) {
+    if (!m->is_push_due) {
         return;
     }
-    m->push_due = false;
+    m->is_push_due = false;
     for (unsigned i = 0; i < PUSH_FANOUT; i++) {
         const member_t *member = choose_push_target(m, i == 0);
         if (member != NULL) {
@@ -199,12 +206,12 @@
     }
 }
 
-void ts_member_notice_stall(ts_membership_t *m, ts_time_us_t now_us)
+void ts_member_advance_clock(ts_membership_t *m, ts_time_us_t now_us)
 {
-    if (m->now_us != 0 && now_us - m->now_us > STALL_BOUND_US) {
-        m->doubt_until_us = now_us + DOUBT_US;
-        m->is_doubtful = true;
-        m->is_changed = true;
+    if (m->now_us != 0 && now_us - m->now_us > STALL_THRESHOLD_US) {
+        m->suspicion_paused_until_us = now_us + SUSPICION_PAUSE_US;
+        m->is_unacked_since_stall = true;
+        m->is_view_changed = true;
         m->standing++;
         ts_member_clear_probe(m);
     }
@@ -213,26 +220,26 @@
 
 void ts_membership_tick(ts_membership_t *m, ts_time_us_t now_us)
 {
-    ts_member_notice_stall(m, now_us);
-    ask_to_join(m);
+    ts_member_advance_clock(m, now_us);
+    request_join(m);
     ts_member_check_probe(m);
     ts_member_start_due_probe(m);
     ts_member_check_barrier(m);
-    ts_member_age_members(m);
-    retry_dead(m);
+    ts_member_expire_members(m);
+    probe_dead_member(m);
     push_rumours(m);
-    if (m->is_changed) {
-        m->is_changed = false;
+    if (m->is_view_changed) {
+        m->is_view_changed = false;
         m->ops.changed(m->context);
     }
 }
 
-/* ---- the platform's list, the configuration, leaving ---- */
+/* ---- machine list, configuration, leaving ---- */
 
 void ts_membership_begin_machines(ts_membership_t *m)
 {
     for (guint i = 0; i < m->order->len; i++) {
-        ((member_t *)g_ptr_array_index(m->order, i))->list_mark = false;
+        ((member_t *)g_ptr_array_index(m->order, i))->is_in_new_list = false;
     }
 }
 
@@ -243,19 +250,20 @@
     if (member == NULL) {
         member = ts_member_add_member(m, name, address, zone);
     } else if (member->incarnation == 0) {
-        ts_member_replace_text(&member->address, address); /* listed anew before it was heard of */
-        ts_member_replace_text(&member->zone, zone);
+        /* Only known from the list so far, which may have changed. */
+        ts_member_replace_string(&member->address, address);
+        ts_member_replace_string(&member->zone, zone);
     }
-    member->list_mark = true;
+    member->is_in_new_list = true;
 }
 
 void ts_membership_end_machines(ts_membership_t *m)
 {
-    m->has_list = true;
+    m->has_machine_list = true;
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, i);
-        m->is_changed |= member->is_listed != member->list_mark;
-        member->is_listed = member->list_mark;
+        m->is_view_changed |= member->is_listed != member->is_in_new_list;
+        member->is_listed = member->is_in_new_list;
     }
 }
 
@@ -263,7 +271,7 @@
 {
     m->config_version = version;
     m->config_digest = digest;
-    m->push_due = true;
+    m->is_push_due = true;
 }
 
 void ts_membership_leave(ts_membership_t *m, ts_time_us_t now_us)
@@ -281,21 +289,24 @@
     return m->has_joined;
 }
 
-/* A majority of the zone's nodes that are listed or heard and have not left, this one included. */
+/*
+ * Whether a majority of the zone's nodes is active, this node included. Active nodes count, and so
+ * do listed ones unless they have left.
+ */
 static bool has_quorum(const ts_membership_t *m)
 {
     unsigned known = 0;
-    unsigned heard = 0;
+    unsigned active = 0;
     for (guint i = 0; i < m->order->len; i++) {
         const member_t *member = g_ptr_array_index(m->order, i);
-        bool counts = ts_member_is_heard(member) || (member->is_listed && !member->has_left);
+        bool counts = ts_member_is_active(member) || (member->is_listed && !member->has_left);
         if (!ts_member_is_same_zone(m, member) || !counts) {
             continue;
         }
         known++;
-        heard += ts_member_is_heard(member);
+        active += ts_member_is_active(member);
     }
-    return heard * 2 > known && !m->is_doubtful && !ts_member_is_cut_off(m);
+    return active * 2 > known && !m->is_unacked_since_stall && !ts_member_is_isolated(m);
 }
 
 static int compare_names(const void *left, const void *right)
@@ -310,7 +321,7 @@
     GPtrArray *sorted = g_ptr_array_sized_new(m->order->len);
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, i);
-        if (ts_member_is_heard(member)) {
+        if (ts_member_is_active(member)) {
             g_ptr_array_add(sorted, member);
         }
     }
@@ -350,8 +361,9 @@
     m->probes_again = config->probes_again;
     m->uses_barriers = config->uses_barriers;
     m->now_us = now_us;
-    m->sync_gap_us = SYNC_GAP_FIRST_US;
-    m->rounds = (unsigned)ts_member_next_random(m); /* so that not all ask the same seed first */
+    m->sync_interval_us = SYNC_INTERVAL_MIN_US;
+    /* A random start, so that nodes send their first join requests to different seeds. */
+    m->rounds = (unsigned)ts_member_next_random(m);
     m->next_probe_us = now_us + ts_member_next_random(m) % TS_MEMBERSHIP_PERIOD_US;
     m->next_dead_retry_us = now_us + ts_member_next_random(m) % DEAD_RETRY_US;
     m->self = ts_member_add_member(m, config->name, config->address, config->zone);
--- a/src/control/membership_barrier.c
+++ b/src/control/membership_barrier.c
@@ -1,27 +1,28 @@
 /**
- * Membership: barriers, by which a node that leaves knows that the others are done with it. Each
- * member is probed until it answers. It puts its view in force before it answers, and messages
- * between two nodes keep their order, so an answer means that the member has handled all that was
- * sent to it before and asks this node for nothing more.
+ * Membership barriers: a leaving node uses them to wait until the other members no longer depend on
+ * it. Each member is probed until it acknowledges. A member publishes its view before it
+ * acknowledges, and messages between two nodes stay in order, so an acknowledgement means that the
+ * member has handled all earlier messages and sends this node no more requests.
  */
 #include "membership_internal.h"
 
-#define BARRIER_RETRY_US (200ULL * TS_US_PER_MS)
-/* Members that don't answer are not waited for any longer. */
-#define BARRIER_WAIT_US (1000ULL * TS_US_PER_MS)
+#define BARRIER_RETRY_INTERVAL_US (200ULL * TS_US_PER_MS)
+/* The barrier counts as passed after this time, even if members have not acknowledged. */
+#define BARRIER_TIMEOUT_US (1000ULL * TS_US_PER_MS)
 
 static void probe_member(ts_membership_t *m, const member_t *member)
 {
-    m->self->rumour_sends = TS_MEMBER_RUMOUR_FIRST; // the probe says that this node leaves
-    ts_member_send_gossip(m, member->name, member->address, GOSSIP_PING, member->barrier, NULL);
+    m->self->rumour_sends_left = TS_MEMBER_RUMOUR_URGENT; // announces that this node is leaving
+    ts_member_send_gossip(m, member->name, member->address, GOSSIP_PING, member->barrier_sequence,
+                          NULL);
 }
 
-static void probe_missing(ts_membership_t *m)
+static void probe_unacked(ts_membership_t *m)
 {
-    m->next_barrier_us = m->now_us + BARRIER_RETRY_US;
+    m->next_barrier_us = m->now_us + BARRIER_RETRY_INTERVAL_US;
     for (guint i = 0; i < m->order->len; i++) {
         const member_t *member = g_ptr_array_index(m->order, i);
-        if (member->barrier != 0 && ts_member_is_heard(member))
+        if (member->barrier_sequence != 0 && ts_member_is_active(member))
             probe_member(m, member);
     }
 }
@@ -30,25 +31,25 @@
 {
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, i);
-        bool is_asked = member != m->self && ts_member_is_heard(member);
-        member->barrier = is_asked ? ++m->sequence : 0;
+        bool is_asked = member != m->self && ts_member_is_active(member);
+        member->barrier_sequence = is_asked ? ++m->sequence : 0;
     }
-    m->barrier_until_us = m->now_us + BARRIER_WAIT_US;
-    probe_missing(m);
+    m->barrier_until_us = m->now_us + BARRIER_TIMEOUT_US;
+    probe_unacked(m);
 }
 
 void ts_member_check_barrier(ts_membership_t *m)
 {
     if (m->barrier_until_us > m->now_us && m->now_us >= m->next_barrier_us)
-        probe_missing(m);
+        probe_unacked(m);
 }
 
-bool ts_member_take_barrier_ack(ts_membership_t *m, uint64_t sequence)
+bool ts_member_handle_barrier_ack(ts_membership_t *m, uint64_t sequence)
 {
     for (guint i = 0; m->barrier_until_us != 0 && i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, i);
-        if (member->barrier == sequence) {
-            member->barrier = 0;
+        if (member->barrier_sequence == sequence) {
+            member->barrier_sequence = 0;
             return true;
         }
     }
@@ -57,7 +58,7 @@
 
 void ts_membership_begin_barrier(ts_membership_t *m, ts_time_us_t now_us)
 {
-    ts_member_notice_stall(m, now_us);
+    ts_member_advance_clock(m, now_us);
     ts_member_begin_barrier(m);
 }
 
@@ -67,7 +68,7 @@
         return true;
     for (guint i = 0; i < m->order->len; i++) {
         const member_t *member = g_ptr_array_index(m->order, i);
-        if (member->barrier != 0 && ts_member_is_heard(member))
+        if (member->barrier_sequence != 0 && ts_member_is_active(member))
             return false;
     }
     return true;
--- a/src/control/membership_internal.h
+++ b/src/control/membership_internal.h
@@ -1,4 +1,4 @@
-/** What the modules of membership share among themselves. */
+/** Internal declarations shared by the membership_*.c files. */
 #ifndef TEALSPAR_MEMBERSHIP_INTERNAL_H
 #define TEALSPAR_MEMBERSHIP_INTERNAL_H
 
@@ -7,8 +7,8 @@
 #include "tealspar.pb-c.h"
 #include "tealspar/membership.h"
 
-/** As rumours left to send: more than any has, so that it goes into the next message. */
-#define TS_MEMBER_RUMOUR_FIRST 100U
+/** Value of `rumour_sends_left` above the regular limit: the next message carries the rumour. */
+#define TS_MEMBER_RUMOUR_URGENT 100U
 
 typedef enum gossip_type {
     GOSSIP_PING = 1,
@@ -25,25 +25,25 @@
     char *zone;
     uint64_t incarnation;
     ts_member_state_t state;
-    ts_time_us_t since_us;     /* of the state */
-    ts_time_us_t suspicion_us; /* how long a suspicion lasts before death */
-    bool is_reconfirmed;       /* the last probe before death was sent */
-    bool has_left;             /* said that it leaves, in this incarnation */
-    bool is_listed;            /* by the platform */
-    bool list_mark;
-    unsigned rumour_sends; /* times the state is still to be told */
-    uint64_t barrier;      /* sequence of the barrier's probe that it has not answered; 0: none */
+    ts_time_us_t state_since_us;
+    ts_time_us_t suspicion_timeout_us; /* time from suspect to dead */
+    bool has_final_probe;       /* the final probe before death was sent, or skipped at random */
+    bool has_left;              /* announced that it is leaving, in this incarnation */
+    bool is_listed;             /* by the platform */
+    bool is_in_new_list;        /* in the machine list being updated */
+    unsigned rumour_sends_left; /* messages that still carry its state */
+    uint64_t barrier_sequence;  /* unacknowledged barrier probe; 0: none */
 } member_t;
 
-/* One probe that waits for its answer. */
+/* The probe that is waiting for its acknowledgement. */
 typedef struct probe {
-    char *target; /* NULL: no probe is out */
+    char *target; /* NULL: no probe is pending */
     uint64_t sequence;
     ts_time_us_t sent_us;
     bool is_indirect_sent;
 } probe_t;
 
-/* A probe made for another node, to be answered to it. */
+/* An indirect probe sent on behalf of another node; its acknowledgement is forwarded. */
 typedef struct relay {
     char *requester;
     char *requester_address;
@@ -58,7 +58,7 @@
     void *context;
     GHashTable *members; /* name -> member_t, owned; this node included */
     member_t *self;
-    GPtrArray *order; /* of member_t, shuffled, for the rounds of probes */
+    GPtrArray *order; /* all members, shuffled: the order of probes */
     guint order_next;
     unsigned rounds;
     probe_t probe;
@@ -73,70 +73,68 @@
     ts_time_us_t next_dead_retry_us;
     ts_time_us_t next_sync_us;
     ts_time_us_t next_repair_us;
-    ts_time_us_t sync_gap_us;
-    uint64_t digest; /* of the view; see digest_view */
+    ts_time_us_t sync_interval_us;
+    uint64_t digest; /* of the view; see ts_member_digest_view */
     bool is_digest_known;
-    ts_time_us_t barrier_until_us; /* 0: none was begun */
+    ts_time_us_t barrier_until_us; /* 0: no barrier was begun */
     ts_time_us_t next_barrier_us;
-    ts_time_us_t doubt_until_us;
-    uint64_t standing;      /* grows with every refutation and every stall */
-    unsigned probe_history; /* of this zone's probes, newest in the lowest bit; 1: failed */
-    bool is_doubtful;       /* stood still, and nobody has answered since */
+    ts_time_us_t suspicion_paused_until_us;
+    uint64_t standing;           /* incremented by every refutation and every stall */
+    unsigned probe_history;      /* results of probes within the zone, latest in bit 0; 1: failed */
+    bool is_unacked_since_stall; /* no acknowledgement was received since the last stall */
     bool has_joined;
-    bool has_list;
+    bool has_machine_list;
     bool is_leaving;
-    bool is_changed;
-    bool push_due;
+    bool is_view_changed;
+    bool is_push_due;
 };
 
-/** Fresh random bits. */
+/** Returns the next 64 bits of the seeded generator. */
 uint64_t ts_member_next_random(ts_membership_t *m);
-/** A member by name, or NULL. */
+/** Returns the member with that name, or NULL. */
 member_t *ts_member_find_member(const ts_membership_t *m, const char *name);
-/** How often a rumour is told. */
-unsigned ts_member_sends_for_rumour(const ts_membership_t *m);
-/** Changes a member's state; the one place where it changes. */
+/** How many messages carry each rumour. */
+unsigned ts_member_rumour_limit(const ts_membership_t *m);
+/** Changes a member's state and incarnation; all state changes go through here. */
 void ts_member_set_state(ts_membership_t *m, member_t *member, ts_member_state_t state,
                          uint64_t incarnation);
-/** Adds a member nobody has heard of, as dead; texts are copied. */
+/** Adds a member in state TS_MEMBER_DEAD; copies the strings. */
 member_t *ts_member_add_member(ts_membership_t *m, const char *name, const char *address,
                                const char *zone);
-/** Forgets a member. */
 void ts_member_remove_member(ts_membership_t *m, member_t *member);
-/** A digest of who is in the view, kept until a state changes. */
+/** Digest of the members in the view; cached until a state changes. */
 uint64_t ts_member_digest_view(ts_membership_t *m);
-/** Sends one gossip with the rumours that are due; `target` may be NULL. */
+/** Sends one gossip message with the rumours that are due; `target` may be NULL. */
 void ts_member_send_gossip(ts_membership_t *m, const char *name, const char *address,
                            gossip_type_t type, uint64_t sequence, const char *target);
-/** Sends all members, in messages of bounded size. */
+/** Sends the full member list, split into messages of bounded size. */
 void ts_member_send_sync(ts_membership_t *m, const char *name, const char *address);
-/** Whether a member is not dead. */
-bool ts_member_is_heard(const member_t *member);
-/** Whether most of the latest probes within the zone failed. */
-bool ts_member_is_cut_off(const ts_membership_t *m);
-/** Whether a member is of this node's zone. */
+/** Whether a member is live, suspect or leaving. */
+bool ts_member_is_active(const member_t *member);
+/** Whether at least two of the last four probes within the zone failed. */
+bool ts_member_is_isolated(const ts_membership_t *m);
+/** Whether a member is in this node's zone. */
 bool ts_member_is_same_zone(const ts_membership_t *m, const member_t *member);
-/** A random member that is not this node, not dead, and not `other`; or NULL. */
+/** Returns a random active member other than this node and `other`, or NULL. */
 member_t *ts_member_choose_random(ts_membership_t *m, const member_t *other);
-/** Forgets the probe that is out. */
+/** Discards the pending probe. */
 void ts_member_clear_probe(ts_membership_t *m);
-/** Remembers how a probe within the zone ended. */
-void ts_member_note_probe(ts_membership_t *m, const member_t *target, bool has_failed);
-/** Goes on with the probe that is out: indirect probes, suspicion. */
+/** Records the result of a probe; ignored for targets in other zones. */
+void ts_member_record_probe(ts_membership_t *m, const member_t *target, bool has_failed);
+/** Checks the pending probe for timeouts: sends indirect probes, then suspects the target. */
 void ts_member_check_probe(ts_membership_t *m);
-/** Starts the next probe when it is due. */
 void ts_member_start_due_probe(ts_membership_t *m);
-/** Probes each member until it answers, or for some time. */
+/** Starts probing all active members until each has acknowledged or the barrier times out. */
 void ts_member_begin_barrier(ts_membership_t *m);
-/** Probes those again that have not answered. */
+/** Probes members again that have not acknowledged the barrier. */
 void ts_member_check_barrier(ts_membership_t *m);
-/** Takes an answer; whether it was one to a barrier's probe. */
-bool ts_member_take_barrier_ack(ts_membership_t *m, uint64_t sequence);
-/** Ends suspicions and leavings whose time is over, and forgets the dead. */
-void ts_member_age_members(ts_membership_t *m);
-/** Sets the time; a jump means that the process stood still. */
-void ts_member_notice_stall(ts_membership_t *m, ts_time_us_t now_us);
-/** Puts another text in the place of one. */
-void ts_member_replace_text(char **place, const char *text);
+/** Handles an acknowledgement; returns whether it belongs to a barrier probe. */
+bool ts_member_handle_barrier_ack(ts_membership_t *m, uint64_t sequence);
+/** Expires the suspect and leaving states and removes dead members after their retention time. */
+void ts_member_expire_members(ts_membership_t *m);
+/** Sets the current time; a jump is treated as a stall of this process. */
+void ts_member_advance_clock(ts_membership_t *m, ts_time_us_t now_us);
+/** Replaces an owned string if the new one differs. */
+void ts_member_replace_string(char **place, const char *text);
 
 #endif
--- a/src/control/membership_probe.c
+++ b/src/control/membership_probe.c
@@ -1,34 +1,34 @@
-/** Membership: probes, suspicion, and the ageing of states. */
+/** Membership: probes, suspicion, and expiry of states. */
 #include "membership_internal.h"
 
 #include <string.h>
 
 #define PROBE_TIMEOUT_US (400ULL * TS_US_PER_MS)
 #define INDIRECT_PROBES 3U
-/* The last four probes within the zone count; two failures among them are doubt enough. */
+/* A node is isolated if two of its last four probes within the zone failed. */
 #define PROBE_HISTORY_MASK 0xFU
-#define PROBE_FAILURES_CUT_OFF 2
-/* A connection that ended is evidence enough to shorten the suspicion. */
-#define SUSPICION_LOST_US (1500ULL * TS_US_PER_MS)
-#define RECONFIRMING_NODES 20U
-/* Every so many probes, one goes to another zone. */
-#define OTHER_ZONE_EVERY 4U
-#define DEAD_KEEP_US (120ULL * TS_US_PER_S)
-#define LEAVING_KEEP_US (15ULL * TS_US_PER_S)
-
-bool ts_member_is_heard(const member_t *member)
+#define PROBE_FAILURES_ISOLATED 2
+/* Suspicion timeout after a connection ended: that is evidence enough for a shorter one. */
+#define SUSPICION_AFTER_DISCONNECT_US (1500ULL * TS_US_PER_MS)
+/* Mean number of nodes that send a suspect a final probe. */
+#define FINAL_PROBE_NODES 20U
+/* One probe in this many goes to another zone. */
+#define CROSS_ZONE_PROBE_EVERY 4U
+#define DEAD_RETENTION_US (120ULL * TS_US_PER_S)
+#define LEAVING_TIMEOUT_US (15ULL * TS_US_PER_S)
+
+bool ts_member_is_active(const member_t *member)
 {
     return member->state != TS_MEMBER_DEAD;
 }
 
 /*
- * Whether most of the latest probes within the zone failed. Views change only as suspicions end,
- * one by one; this says within seconds, in a zone of any size, that a node no longer hears its
- * zone.
+ * Detects within seconds, in a zone of any size, that this node no longer reaches its zone. The
+ * view shows that more slowly, because suspicions expire one by one.
  */
-bool ts_member_is_cut_off(const ts_membership_t *m)
+bool ts_member_is_isolated(const ts_membership_t *m)
 {
-    return __builtin_popcount(m->probe_history) >= PROBE_FAILURES_CUT_OFF;
+    return __builtin_popcount(m->probe_history) >= PROBE_FAILURES_ISOLATED;
 }
 
 bool ts_member_is_same_zone(const ts_membership_t *m, const member_t *member)
@@ -36,27 +36,26 @@
     return strcmp(member->zone, m->self->zone) == 0;
 }
 
-/* A random member that is not this node, not dead, and not `other`; or NULL. */
 member_t *ts_member_choose_random(ts_membership_t *m, const member_t *other)
 {
     guint begin = (guint)(ts_member_next_random(m) % m->order->len);
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, (begin + i) % m->order->len);
-        if (member != m->self && member != other && ts_member_is_heard(member)) {
+        if (member != m->self && member != other && ts_member_is_active(member)) {
             return member;
         }
     }
     return NULL;
 }
 
-/* The next member of the round: this zone's, and now and then one of another zone. */
+/* Picks the next member in order: every fourth time one of another zone, otherwise of this zone. */
 static member_t *choose_probe_target(ts_membership_t *m)
 {
-    bool wants_other_zone = m->rounds++ % OTHER_ZONE_EVERY == OTHER_ZONE_EVERY - 1;
+    bool wants_other_zone = m->rounds++ % CROSS_ZONE_PROBE_EVERY == CROSS_ZONE_PROBE_EVERY - 1;
     member_t *fallback = NULL;
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, m->order_next++ % m->order->len);
-        if (member == m->self || !ts_member_is_heard(member)) {
+        if (member == m->self || !ts_member_is_active(member)) {
             continue;
         }
         if (ts_member_is_same_zone(m, member) != wants_other_zone) {
@@ -99,20 +98,19 @@
     }
 }
 
-/* Remembers how a probe within the zone ended: many failures mean that this node is cut off. */
-void ts_member_note_probe(ts_membership_t *m, const member_t *target, bool has_failed)
+void ts_member_record_probe(ts_membership_t *m, const member_t *target, bool has_failed)
 {
     if (!ts_member_is_same_zone(m, target)) {
         return;
     }
-    bool was_cut_off = ts_member_is_cut_off(m);
+    bool was_isolated = ts_member_is_isolated(m);
     m->probe_history = (m->probe_history << 1 | has_failed) & PROBE_HISTORY_MASK;
-    m->is_changed |= was_cut_off != ts_member_is_cut_off(m);
+    m->is_view_changed |= was_isolated != ts_member_is_isolated(m);
 }
 
-static void suspect(ts_membership_t *m, member_t *member)
+static void mark_suspect(ts_membership_t *m, member_t *member)
 {
-    if (member->state == TS_MEMBER_LIVE && m->now_us >= m->doubt_until_us) {
+    if (member->state == TS_MEMBER_LIVE && m->now_us >= m->suspicion_paused_until_us) {
         ts_member_set_state(m, member, TS_MEMBER_SUSPECT, member->incarnation);
     }
 }
@@ -129,8 +127,8 @@
     } else if (!m->probe.is_indirect_sent && waited_us >= PROBE_TIMEOUT_US) {
         send_indirect_probes(m, target);
     } else if (waited_us >= 2 * PROBE_TIMEOUT_US) {
-        ts_member_note_probe(m, target, true);
-        suspect(m, target);
+        ts_member_record_probe(m, target, true);
+        mark_suspect(m, target);
         ts_member_clear_probe(m);
     }
 }
@@ -152,65 +150,65 @@
 {
     member_t *member = ts_member_find_member(m, name);
     m->now_us = now_us;
-    if (member == NULL || member == m->self || !ts_member_is_heard(member)) {
+    if (member == NULL || member == m->self || !ts_member_is_active(member)) {
         return;
     }
     if (member->state == TS_MEMBER_LEAVING) {
         ts_member_set_state(m, member, TS_MEMBER_DEAD, member->incarnation);
         return;
     }
-    suspect(m, member);
-    member->suspicion_us = SUSPICION_LOST_US;
-    /* Its refutation, if it lives, comes with the answer. */
+    mark_suspect(m, member);
+    member->suspicion_timeout_us = SUSPICION_AFTER_DISCONNECT_US;
+    /* If the member is alive, it refutes the suspicion with its acknowledgement. */
     ts_member_send_gossip(m, member->name, member->address, GOSSIP_PING, ++m->sequence, NULL);
 }
 
-/* ---- ageing of states ---- */
+/* ---- expiry of states ---- */
 
-static bool is_suspicion_over(const ts_membership_t *m, const member_t *member)
+static bool has_suspicion_expired(const ts_membership_t *m, const member_t *member)
 {
-    return member->state == TS_MEMBER_SUSPECT && m->now_us >= m->doubt_until_us &&
-           m->now_us - member->since_us >= member->suspicion_us;
+    return member->state == TS_MEMBER_SUSPECT && m->now_us >= m->suspicion_paused_until_us &&
+           m->now_us - member->state_since_us >= member->suspicion_timeout_us;
 }
 
 /*
- * Some time before a suspicion ends, a few of the nodes that hold it probe the suspect once more
- * and tell it of the suspicion, so that a lost refutation does not become a death.
+ * Halfway through the suspicion timeout a random few nodes probe the suspect once more with the
+ * suspicion attached, so that a lost refutation does not lead to a false death.
  */
-static void reconfirm(ts_membership_t *m, member_t *member)
+static void send_final_probe(ts_membership_t *m, member_t *member)
 {
-    bool is_due = member->state == TS_MEMBER_SUSPECT && !member->is_reconfirmed &&
-                  m->now_us - member->since_us >= member->suspicion_us / 2;
+    bool is_due = member->state == TS_MEMBER_SUSPECT && !member->has_final_probe &&
+                  m->now_us - member->state_since_us >= member->suspicion_timeout_us / 2;
     if (!is_due) {
         return;
     }
-    member->is_reconfirmed = true;
-    if (ts_member_next_random(m) % m->order->len < RECONFIRMING_NODES) {
-        member->rumour_sends = TS_MEMBER_RUMOUR_FIRST;
+    member->has_final_probe = true;
+    if (ts_member_next_random(m) % m->order->len < FINAL_PROBE_NODES) {
+        member->rumour_sends_left = TS_MEMBER_RUMOUR_URGENT;
         ts_member_send_gossip(m, member->name, member->address, GOSSIP_PING, ++m->sequence, NULL);
     }
 }
 
-static bool is_leaving_over(const ts_membership_t *m, const member_t *member)
+static bool has_leaving_expired(const ts_membership_t *m, const member_t *member)
 {
     return member != m->self && member->state == TS_MEMBER_LEAVING &&
-           m->now_us - member->since_us >= LEAVING_KEEP_US;
+           m->now_us - member->state_since_us >= LEAVING_TIMEOUT_US;
 }
 
-static bool is_forgettable(const ts_membership_t *m, const member_t *member)
+static bool is_removable(const ts_membership_t *m, const member_t *member)
 {
     return member->state == TS_MEMBER_DEAD && !member->is_listed &&
-           m->now_us - member->since_us >= DEAD_KEEP_US;
+           m->now_us - member->state_since_us >= DEAD_RETENTION_US;
 }
 
-void ts_member_age_members(ts_membership_t *m)
+void ts_member_expire_members(ts_membership_t *m)
 {
     for (guint i = m->order->len; i > 0; i--) {
         member_t *member = g_ptr_array_index(m->order, i - 1);
-        reconfirm(m, member);
-        if (is_suspicion_over(m, member) || is_leaving_over(m, member)) {
+        send_final_probe(m, member);
+        if (has_suspicion_expired(m, member) || has_leaving_expired(m, member)) {
             ts_member_set_state(m, member, TS_MEMBER_DEAD, member->incarnation);
-        } else if (is_forgettable(m, member)) {
+        } else if (is_removable(m, member)) {
             ts_member_remove_member(m, member);
         }
     }
--- a/src/control/membership_receive.c
+++ b/src/control/membership_receive.c
@@ -1,19 +1,19 @@
-/** Membership: what is received: rumours, probes, answers, differences of views. */
+/** Membership: received messages: rumours, probes, acknowledgements, and differing views. */
 #include "membership_internal.h"
 
 #include <string.h>
 
 #include "tealspar/counters.h"
 
-/* Exchanges of all members are paced: often after the start, rarely later. */
-#define RECENT_US (15ULL * TS_US_PER_S)
-#define REPAIR_GAP_US (300ULL * TS_US_PER_MS)
-/* One in so many exchanges that are due with a node of another zone is made. */
-#define SYNC_OTHER_ZONE_EVERY 8U
-#define SYNC_GAP_MOST_US (64ULL * TS_US_PER_S)
+/* State changes younger than this are sent again to a peer whose view differs. */
+#define RECENT_CHANGE_US (15ULL * TS_US_PER_S)
+#define REPAIR_INTERVAL_US (300ULL * TS_US_PER_MS)
+/* Of the full exchanges due with nodes of other zones, one in this many is made, at random. */
+#define CROSS_ZONE_SYNC_ONE_IN 8U
+#define SYNC_INTERVAL_MAX_US (64ULL * TS_US_PER_S)
 
-/* At one incarnation a later state of this order wins. */
-static bool is_news(const member_t *member, ts_member_state_t state, uint64_t incarnation)
+/* A higher incarnation wins; within one incarnation the later state in enum order wins. */
+static bool supersedes(const member_t *member, ts_member_state_t state, uint64_t incarnation)
 {
     if (incarnation != member->incarnation) {
         return incarnation > member->incarnation;
@@ -25,12 +25,12 @@
 {
     ts_count(TS_COUNTER_MEMBER_REFUTATIONS, 1);
     m->standing++;
-    m->is_changed = true;
+    m->is_view_changed = true;
     ts_member_state_t state = m->is_leaving ? TS_MEMBER_LEAVING : TS_MEMBER_LIVE;
     ts_member_set_state(m, m->self, state, MAX(incarnation, m->self->incarnation) + 1);
 }
 
-void ts_member_replace_text(char **place, const char *text)
+void ts_member_replace_string(char **place, const char *text)
 {
     if (strcmp(*place, text) != 0) {
         g_free(*place);
@@ -38,7 +38,7 @@
     }
 }
 
-static void take_rumour(ts_membership_t *m, const TsWire__Member *rumour)
+static void apply_rumour(ts_membership_t *m, const TsWire__Member *rumour)
 {
     if (rumour->state > TS_MEMBER_DEAD || rumour->name[0] == '\0' || rumour->incarnation == 0) {
         return;
@@ -54,41 +54,42 @@
         return;
     }
     if (member == NULL && state == TS_MEMBER_DEAD) {
-        return; /* never known here, and gone */
+        return; /* an unknown member that is dead already */
     }
     if (member == NULL) {
         member = ts_member_add_member(m, rumour->name, rumour->address, rumour->zone);
-    } else if (!is_news(member, state, rumour->incarnation)) {
+    } else if (!supersedes(member, state, rumour->incarnation)) {
         return;
     }
-    ts_member_replace_text(&member->address, rumour->address);
-    ts_member_replace_text(&member->zone, rumour->zone);
+    ts_member_replace_string(&member->address, rumour->address);
+    ts_member_replace_string(&member->zone, rumour->zone);
     ts_member_set_state(m, member, state, rumour->incarnation);
 }
 
-/* A node that leaves relies on it that whoever answers acts by what it was told. */
-static void show_view_before_answer(ts_membership_t *m)
+/* A leaving node relies on a member acting on its announcement before acknowledging the probe. */
+static void publish_view_before_ack(ts_membership_t *m)
 {
-    if (!m->uses_barriers || !m->is_changed)
+    if (!m->uses_barriers || !m->is_view_changed)
         return;
-    m->is_changed = false;
+    m->is_view_changed = false;
     m->ops.changed(m->context);
 }
 
 static void answer_ping(ts_membership_t *m, const char *name, const char *address,
                         uint64_t sequence)
 {
-    show_view_before_answer(m);
+    publish_view_before_ack(m);
     member_t *sender = ts_member_find_member(m, name);
     if (sender != NULL && sender->state != TS_MEMBER_LIVE) {
-        sender->rumour_sends = MAX(sender->rumour_sends, 1U); /* lets it refute */
+        /* The acknowledgement carries the rumour, so that the sender can refute it. */
+        sender->rumour_sends_left = MAX(sender->rumour_sends_left, 1U);
     }
     ts_member_send_gossip(m, name, address, GOSSIP_ACK, sequence, NULL);
 }
 
-static void take_ack(ts_membership_t *m, uint64_t sequence)
+static void handle_ack(ts_membership_t *m, uint64_t sequence)
 {
-    if (ts_member_take_barrier_ack(m, sequence))
+    if (ts_member_handle_barrier_ack(m, sequence))
         return;
     relay_t *relay = g_hash_table_lookup(m->relays, &sequence);
     if (relay != NULL) {
@@ -100,26 +101,26 @@
     if (m->probe.target != NULL && m->probe.sequence == sequence) {
         const member_t *target = ts_member_find_member(m, m->probe.target);
         if (target != NULL) {
-            ts_member_note_probe(m, target, false);
+            ts_member_record_probe(m, target, false);
         }
         ts_member_clear_probe(m);
     }
 }
 
-static gboolean is_relay_old(gpointer key, gpointer value, gpointer data)
+static gboolean is_relay_expired(gpointer key, gpointer value, gpointer data)
 {
     const ts_membership_t *m = data;
     return m->now_us - ((relay_t *)value)->sent_us > TS_MEMBERSHIP_PERIOD_US;
 }
 
-static void take_ping_request(ts_membership_t *m, const char *name, const char *address,
-                              const TsWire__Gossip *gossip)
+static void handle_ping_request(ts_membership_t *m, const char *name, const char *address,
+                                const TsWire__Gossip *gossip)
 {
     const member_t *target = ts_member_find_member(m, gossip->target);
     if (target == NULL || target == m->self) {
         return;
     }
-    g_hash_table_foreach_remove(m->relays, is_relay_old, m);
+    g_hash_table_foreach_remove(m->relays, is_relay_expired, m);
     relay_t *relay = g_new0(relay_t, 1);
     relay->requester = g_strdup(name);
     relay->requester_address = g_strdup(address);
@@ -131,17 +132,17 @@
     ts_member_send_gossip(m, target->name, target->address, GOSSIP_PING, *key, NULL);
 }
 
-/* Rumours that a peer with the same view knows already are told less often. */
-static void fade_rumours(ts_membership_t *m)
+/* A peer with the same view knows the rumours already, so they need fewer further sends. */
+static void halve_rumour_sends(ts_membership_t *m)
 {
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, i);
-        member->rumour_sends /= 2;
+        member->rumour_sends_left /= 2;
     }
 }
 
-/* Tells a peer whose view differs what has changed here lately; it may have missed a rumour. */
-static void tell_recent(ts_membership_t *m, const char *name, const char *address)
+/* Sends recent state changes to a peer whose view differs; it may have missed a rumour. */
+static void send_recent_changes(ts_membership_t *m, const char *name, const char *address)
 {
     bool has_recent = false;
     if (m->now_us < m->next_repair_us) {
@@ -149,47 +150,51 @@
     }
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, i);
-        if (member->incarnation != 0 && m->now_us - member->since_us < RECENT_US) {
-            member->rumour_sends = MAX(member->rumour_sends, 1U);
+        if (member->incarnation != 0 && m->now_us - member->state_since_us < RECENT_CHANGE_US) {
+            member->rumour_sends_left = MAX(member->rumour_sends_left, 1U);
             has_recent = true;
         }
     }
     if (has_recent) {
-        m->next_repair_us = m->now_us + REPAIR_GAP_US;
+        m->next_repair_us = m->now_us + REPAIR_INTERVAL_US;
         ts_member_send_gossip(m, name, address, GOSSIP_RUMOURS, 0, NULL);
     }
 }
 
 /*
- * Whether the exchange of all members is left to a node of this zone: links between zones are dear,
- * and what one node of a zone learns there it tells the others.
+ * Whether to skip a full exchange with a node of another zone. Traffic between zones is expensive,
+ * and what one node learns there spreads within its zone.
  */
-static bool is_sync_spared(ts_membership_t *m, const char *name)
+static bool skips_sync(ts_membership_t *m, const char *name)
 {
     const member_t *member = ts_member_find_member(m, name);
     bool is_other_zone = member != NULL && !ts_member_is_same_zone(m, member);
-    return is_other_zone && ts_member_next_random(m) % SYNC_OTHER_ZONE_EVERY != 0;
+    return is_other_zone && ts_member_next_random(m) % CROSS_ZONE_SYNC_ONE_IN != 0;
 }
 
-/* Views that stay different are put right by an exchange of all members, paced. */
+/*
+ * Views that stay different are reconciled by a full exchange of members. The interval doubles with
+ * each exchange: frequent after startup, rare later.
+ */
 static void compare_digest(ts_membership_t *m, const char *name, const char *address,
                            uint64_t digest)
 {
     if (digest == ts_member_digest_view(m)) {
-        fade_rumours(m);
+        halve_rumour_sends(m);
         return;
     }
-    tell_recent(m, name, address);
-    if (m->now_us < m->next_sync_us || is_sync_spared(m, name)) {
+    send_recent_changes(m, name, address);
+    if (m->now_us < m->next_sync_us || skips_sync(m, name)) {
         return;
     }
-    m->next_sync_us = m->now_us + m->sync_gap_us + ts_member_next_random(m) % m->sync_gap_us;
-    m->sync_gap_us = MIN(m->sync_gap_us * 2, SYNC_GAP_MOST_US);
+    m->next_sync_us =
+        m->now_us + m->sync_interval_us + ts_member_next_random(m) % m->sync_interval_us;
+    m->sync_interval_us = MIN(m->sync_interval_us * 2, SYNC_INTERVAL_MAX_US);
     ts_member_send_gossip(m, name, address, GOSSIP_SYNC_REQUEST, 0, NULL);
 }
 
-static void take_gossip(ts_membership_t *m, const char *name, const char *address,
-                        const TsWire__Gossip *gossip)
+static void handle_gossip(ts_membership_t *m, const char *name, const char *address,
+                          const TsWire__Gossip *gossip)
 {
     switch (gossip->type) {
     case GOSSIP_PING:
@@ -197,19 +202,19 @@
         compare_digest(m, name, address, gossip->view_digest);
         break;
     case GOSSIP_ACK:
-        take_ack(m, gossip->sequence);
+        handle_ack(m, gossip->sequence);
         compare_digest(m, name, address, gossip->view_digest);
-        m->is_changed |= m->is_doubtful;
-        m->is_doubtful = false;
+        m->is_view_changed |= m->is_unacked_since_stall;
+        m->is_unacked_since_stall = false;
         break;
     case GOSSIP_PING_REQUEST:
-        take_ping_request(m, name, address, gossip);
+        handle_ping_request(m, name, address, gossip);
         break;
     case GOSSIP_SYNC_REQUEST:
         ts_member_send_sync(m, name, address);
         break;
     case GOSSIP_SYNC:
-        m->is_changed |= !m->has_joined;
+        m->is_view_changed |= !m->has_joined;
         m->has_joined = true;
         break;
     default:
@@ -224,11 +229,11 @@
     if (gossip == NULL) {
         return false;
     }
-    ts_member_notice_stall(m, now_us);
+    ts_member_advance_clock(m, now_us);
     for (size_t i = 0; i < gossip->n_members; i++) {
-        take_rumour(m, gossip->members[i]);
+        apply_rumour(m, gossip->members[i]);
     }
-    take_gossip(m, from_name, from_address, gossip);
+    handle_gossip(m, from_name, from_address, gossip);
     if (gossip->config_version != 0) {
         m->ops.heard_config(m->context, from_name, from_address, gossip->config_version,
                             gossip->config_digest);
--- a/src/control/membership_task.c
+++ b/src/control/membership_task.c
@@ -1,4 +1,4 @@
-/** The membership task: runs the gossip on the loop and shows views to the other tasks. */
+/** The membership task: runs gossip membership on the loop and publishes views to other tasks. */
 #include <string.h>
 
 #include "tealspar/counters.h"
@@ -8,8 +8,8 @@
 #include "tealspar/messages.h"
 #include "tealspar/node.h"
 
-/* A node that hears nobody shows its own view after this time. */
-#define ALONE_US (3000ULL * TS_US_PER_MS)
+/* A node that reaches no other node publishes its own view after this time. */
+#define LONE_NODE_WAIT_US (3000ULL * TS_US_PER_MS)
 
 typedef struct membership_task {
     ts_node_t *node;
@@ -19,9 +19,9 @@
     ts_membership_t *membership;
     ts_time_us_t started_us;
     ts_timer_t timer;
-    bool is_shown;
+    bool is_published;
     bool had_quorum;
-    bool is_broker_idle; /* of a node that stops */
+    bool is_broker_idle; /* while stopping */
 } membership_task_t;
 
 static void send_gossip(void *context, const char *name, const char *address, const uint8_t *bytes,
@@ -31,8 +31,8 @@
     ts_task_send(task->mesh, &ts_gossip_message(name, address, bytes, length)->head);
 }
 
-static void heard_config(void *context, const char *name, const char *address, uint64_t version,
-                         uint64_t digest)
+static void send_config_announcement(void *context, const char *name, const char *address,
+                                     uint64_t version, uint64_t digest)
 {
     membership_task_t *task = context;
     ts_document_message_t *message = ts_document_message(name, address);
@@ -41,14 +41,14 @@
     ts_task_send(task->configuration, &message->head);
 }
 
-static void log_member(void *context, const char *name, ts_member_state_t old,
-                       ts_member_state_t state)
+static void log_member_state(void *context, const char *name, ts_member_state_t old,
+                             ts_member_state_t state)
 {
     ts_log(TS_EVENT_MEMBER_STATE, "%s: %s to %s", name, ts_member_state_name(old),
            ts_member_state_name(state));
 }
 
-static void note_quorum(membership_task_t *task, const ts_view_t *view)
+static void log_quorum_change(membership_task_t *task, const ts_view_t *view)
 {
     if (view->has_quorum != task->had_quorum) {
         task->had_quorum = view->has_quorum;
@@ -57,17 +57,17 @@
     }
 }
 
-static void show_view(void *context)
+static void publish_view(void *context)
 {
     membership_task_t *task = context;
     static const char *const receivers[] = {"mesh", "front", "broker", "platform", "configuration"};
-    bool waited = ts_clock_now_us() - task->started_us > ALONE_US;
-    if (!ts_membership_has_joined(task->membership) && !waited) {
+    bool has_waited = ts_clock_now_us() - task->started_us > LONE_NODE_WAIT_US;
+    if (!ts_membership_has_joined(task->membership) && !has_waited) {
         return;
     }
-    task->is_shown = true;
+    task->is_published = true;
     ts_view_t *view = ts_membership_view(task->membership);
-    note_quorum(task, view);
+    log_quorum_change(task, view);
     for (size_t i = 0; i < G_N_ELEMENTS(receivers); i++) {
         ts_task_send(ts_task_find(task->node->tasks, receivers[i]), &ts_view_message(view)->head);
     }
@@ -82,12 +82,12 @@
 {
     membership_task_t *task = timer->data;
     ts_membership_tick(task->membership, ts_clock_now_us());
-    if (!task->is_shown) {
-        show_view(task);
+    if (!task->is_published) {
+        publish_view(task);
     }
 }
 
-static void take_machines(membership_task_t *task, const ts_machines_message_t *message)
+static void apply_machines(membership_task_t *task, const ts_machines_message_t *message)
 {
     ts_membership_begin_machines(task->membership);
     for (guint i = 0; i < message->machines->len; i++) {
@@ -114,7 +114,7 @@
         ts_membership_peer_lost(task->membership, ((ts_peer_message_t *)message)->name, now_us);
         break;
     case TS_MESSAGE_MACHINES:
-        take_machines(task, (const ts_machines_message_t *)message);
+        apply_machines(task, (const ts_machines_message_t *)message);
         break;
     case TS_MESSAGE_DECLARATIONS: {
         const ts_declarations_t *declarations =
@@ -131,7 +131,7 @@
     }
 }
 
-/* Seeds are asked by address alone; their names come with their answers. */
+/* Seeds are known by address only at first; their names arrive with their answers. */
 static void add_seeds(membership_task_t *task, const ts_settings_t *settings)
 {
     for (unsigned i = 0; i < settings->seeds_count; i++) {
@@ -143,7 +143,8 @@
 
 static ts_error_t open_membership(ts_node_t *node)
 {
-    static const ts_membership_ops_t ops = {send_gossip, heard_config, show_view, log_member};
+    static const ts_membership_ops_t ops = {send_gossip, send_config_announcement, publish_view,
+                                            log_member_state};
     ts_membership_config_t config = {
         .name = node->settings->name,
         .address = node->settings->advertise,
@@ -180,7 +181,10 @@
     ts_membership_leave(task->membership, ts_clock_now_us());
 }
 
-/* The replies of the broker have arrived, and nobody asks it any more. */
+/*
+ * Once the barrier has passed, the other nodes have received the broker's replies and send it no
+ * more requests.
+ */
 static bool is_membership_idle(ts_node_t *node)
 {
     const membership_task_t *task = ts_node_state(node, "membership");
@@ -216,4 +220,4 @@
                                              stop_membership,     is_membership_idle,
                                              describe_membership, close_membership};
 TS_REGISTER_PLUGIN(membership_plugin, TS_PLUGIN_TASK, "membership", 0, &membership_ops,
-                   "decides by gossip which nodes live")
+                   "tracks by gossip which nodes are alive")
--- a/src/control/membership_wire.c
+++ b/src/control/membership_wire.c
@@ -1,4 +1,4 @@
-/** Membership: what is sent, and which rumours go with it. */
+/** Membership: packing and sending messages, and choosing the rumours they carry. */
 #include "membership_internal.h"
 
 #include <string.h>
@@ -8,7 +8,7 @@
 #define RUMOURS_PER_MESSAGE 8U
 #define SYNC_MEMBERS_PER_MESSAGE 200U
 
-static TsWire__Member describe_member(const member_t *member)
+static TsWire__Member pack_member(const member_t *member)
 {
     TsWire__Member wire = TS_WIRE__MEMBER__INIT;
     wire.name = member->name;
@@ -19,18 +19,18 @@
     return wire;
 }
 
-/* The rumours told least often go first; returns how many were written. */
+/* Chooses the rumours with the most sends left; returns how many were written to `rows`. */
 static size_t choose_rumours(ts_membership_t *m, TsWire__Member *rows)
 {
     member_t *chosen[RUMOURS_PER_MESSAGE];
     size_t count = 0;
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, i);
-        if (member->rumour_sends == 0) {
+        if (member->rumour_sends_left == 0) {
             continue;
         }
         size_t place = count;
-        while (place > 0 && chosen[place - 1]->rumour_sends < member->rumour_sends) {
+        while (place > 0 && chosen[place - 1]->rumour_sends_left < member->rumour_sends_left) {
             place--;
         }
         if (place >= RUMOURS_PER_MESSAGE) {
@@ -42,13 +42,13 @@
         count = last + 1;
     }
     for (size_t i = 0; i < count; i++) {
-        chosen[i]->rumour_sends = MIN(chosen[i]->rumour_sends, ts_member_sends_for_rumour(m)) - 1;
-        rows[i] = describe_member(chosen[i]);
+        chosen[i]->rumour_sends_left =
+            MIN(chosen[i]->rumour_sends_left, ts_member_rumour_limit(m)) - 1;
+        rows[i] = pack_member(chosen[i]);
     }
     return count;
 }
 
-/* A digest of who is in the view, kept until a state changes. */
 uint64_t ts_member_digest_view(ts_membership_t *m)
 {
     if (m->is_digest_known) {
@@ -57,7 +57,7 @@
     uint64_t digest = 0;
     for (guint i = 0; i < m->order->len; i++) {
         const member_t *member = g_ptr_array_index(m->order, i);
-        if (member->state != TS_MEMBER_DEAD) { /* a sum, so that the order does not matter */
+        if (member->state != TS_MEMBER_DEAD) { /* a sum does not depend on the order */
             digest += ts_hash_mix(ts_hash_text(member->name), member->incarnation);
         }
     }
@@ -66,8 +66,8 @@
     return digest;
 }
 
-static void send_wire(ts_membership_t *m, const char *name, const char *address,
-                      TsWire__Gossip *gossip)
+static void send_packed(ts_membership_t *m, const char *name, const char *address,
+                        TsWire__Gossip *gossip)
 {
     gossip->config_version = m->config_version;
     gossip->config_digest = m->config_digest;
@@ -97,10 +97,9 @@
     if (type == GOSSIP_PING || type == GOSSIP_ACK) {
         gossip.view_digest = ts_member_digest_view(m);
     }
-    send_wire(m, name, address, &gossip);
+    send_packed(m, name, address, &gossip);
 }
 
-/* Sends all members, in messages of bounded size. */
 void ts_member_send_sync(ts_membership_t *m, const char *name, const char *address)
 {
     for (guint begin = 0; begin < m->order->len; begin += SYNC_MEMBERS_PER_MESSAGE) {
@@ -111,15 +110,15 @@
         for (guint i = 0; i < count; i++) {
             const member_t *member = g_ptr_array_index(m->order, begin + i);
             if (member->incarnation == 0) {
-                continue; /* only listed, never heard of */
+                continue; /* listed by the platform only */
             }
-            rows[gossip.n_members] = describe_member(member);
+            rows[gossip.n_members] = pack_member(member);
             pointers[gossip.n_members] = &rows[gossip.n_members];
             gossip.n_members++;
         }
         gossip.type = GOSSIP_SYNC;
         gossip.members = pointers;
-        send_wire(m, name, address, &gossip);
+        send_packed(m, name, address, &gossip);
         g_free(pointers);
         g_free(rows);
     }
--- a/src/control/mesh.c
+++ b/src/control/mesh.c
@@ -1,6 +1,6 @@
 /**
- * The mesh: messages between nodes (tealspar/peer_link.h). What tasks send to a peer in one turn of
- * the loop leaves as one frame.
+ * The mesh task: carries messages between nodes (tealspar/peer_link.h). All messages that tasks
+ * send to a peer in one loop iteration are packed into one frame.
  */
 #include <pthread.h>
 #include <sched.h>
@@ -13,15 +13,15 @@
 #include "tealspar/peer_link.h"
 #include "tealspar/wire.h"
 
-/* Frames that may wait for a peer; one a turn of the loop. */
-#define BUFFER_FRAMES 256
-#define HOUSEKEEPING_MS 1000
+/* Frames that may be queued for a peer; each loop iteration adds at most one. */
+#define SEND_BUFFER_FRAMES 256
+#define SWEEP_INTERVAL_MS 1000
 
 typedef struct peer {
     uint64_t id;
     char *name;
     char *address;
-    uint64_t incarnation; /* of the last frame from it; 0: none came yet */
+    uint64_t incarnation; /* from its last frame; 0: none received */
     GPtrArray *pending;   /* of ts_message_t, owned */
 } peer_t;
 
@@ -33,9 +33,9 @@
     ts_task_t *configuration;
     ts_wire_identity_t identity;
     ts_peer_link_t *link;
-    GHashTable *peers; /* &id -> peer_t, owned */
-    GPtrArray *dirty;  /* peers with something pending */
-    uv_timer_t housekeeping;
+    GHashTable *peers;         /* &id -> peer_t, owned */
+    GPtrArray *peers_to_flush; /* peers with pending messages */
+    uv_timer_t sweep_timer;
 } mesh;
 
 /* ---- peers ---- */
@@ -45,7 +45,7 @@
     return g_hash_table_lookup(mesh.peers, &id);
 }
 
-static peer_t *learn_peer(const char *name, const char *address)
+static peer_t *update_peer(const char *name, const char *address)
 {
     uint64_t id = ts_hash_text(name);
     peer_t *peer = find_peer(id);
@@ -66,7 +66,7 @@
 
 /* ---- sending ---- */
 
-static void drop_pending(peer_t *peer)
+static void clear_pending(peer_t *peer)
 {
     for (guint i = 0; i < peer->pending->len; i++) {
         ts_message_t *message = g_ptr_array_index(peer->pending, i);
@@ -75,7 +75,7 @@
     g_ptr_array_set_size(peer->pending, 0);
 }
 
-/* Sends what waits for a peer as one frame. */
+/* Sends the pending messages of a peer as one frame. */
 static void flush_peer(peer_t *peer)
 {
     ts_wire_frame_t *frame = ts_wire_frame_build(
@@ -86,27 +86,27 @@
     ts_wire_frame_free(frame);
     ts_peer_link_send(mesh.link, peer->address, bytes, length);
     g_free(bytes);
-    drop_pending(peer);
+    clear_pending(peer);
 }
 
 static void flush_peers(void *state)
 {
-    for (guint i = 0; i < mesh.dirty->len; i++)
-        flush_peer(g_ptr_array_index(mesh.dirty, i));
-    g_ptr_array_set_size(mesh.dirty, 0);
+    for (guint i = 0; i < mesh.peers_to_flush->len; i++)
+        flush_peer(g_ptr_array_index(mesh.peers_to_flush, i));
+    g_ptr_array_set_size(mesh.peers_to_flush, 0);
 }
 
-static void keep_for(peer_t *peer, ts_message_t *message)
+static void queue_message(peer_t *peer, ts_message_t *message)
 {
     if (peer == NULL) {
-        /* the kernel destroys the message */
+        /* Not marked as kept, so the task kernel destroys the message. */
         ts_count_error(TS_E_PEER_LOST);
         ts_log(TS_EVENT_FRAMES_LOST, "peer=- reason=unknown_peer type=%d", (int)message->type);
         return;
     }
     message->kept = true;
     if (peer->pending->len == 0) {
-        g_ptr_array_add(mesh.dirty, peer);
+        g_ptr_array_add(mesh.peers_to_flush, peer);
     }
     g_ptr_array_add(peer->pending, message);
 }
@@ -114,27 +114,27 @@
 static void send_gossip(ts_gossip_message_t *message)
 {
     ts_count(TS_COUNTER_CONTROL_BYTES_SENT, (int64_t)message->length);
-    keep_for(learn_peer(message->peer_name, message->peer_address), &message->head);
+    queue_message(update_peer(message->peer_name, message->peer_address), &message->head);
 }
 
 static void send_document(ts_document_message_t *message)
 {
     ts_count(TS_COUNTER_CONTROL_BYTES_SENT, (int64_t)message->length);
-    keep_for(learn_peer(message->peer_name, message->peer_address), &message->head);
+    queue_message(update_peer(message->peer_name, message->peer_address), &message->head);
 }
 
 /* ---- delivering ---- */
 
 /*
- * Whoever sends a frame can be replied to: a node that has just started is asked by others before
- * membership has told it who they are.
+ * Registers the sender of a frame, so that it can be replied to. A node that has just started gets
+ * requests from nodes that are not yet in its membership view.
  */
-static void hear_sender(void *context, const ts_wire_identity_t *sender)
+static void learn_sender(void *context, const ts_wire_identity_t *sender)
 {
     peer_t *peer = find_peer(ts_hash_text(sender->name));
     if (peer != NULL && sender->incarnation < peer->incarnation)
-        return; /* a late frame of an earlier life */
-    learn_peer(sender->name, sender->address)->incarnation = sender->incarnation;
+        return; /* a delayed frame from before the sender's restart */
+    update_peer(sender->name, sender->address)->incarnation = sender->incarnation;
 }
 
 static void deliver(void *context, ts_message_t *message)
@@ -158,10 +158,10 @@
     }
 }
 
-static void take_bytes(void *context, const uint8_t *bytes, size_t length)
+static void receive_frame(void *context, const uint8_t *bytes, size_t length)
 {
     ts_error_t error =
-        ts_wire_frame_receive(&mesh.identity, bytes, length, hear_sender, deliver, NULL);
+        ts_wire_frame_receive(&mesh.identity, bytes, length, learn_sender, deliver, NULL);
     if (error != TS_OK) {
         ts_count(TS_COUNTER_MESH_REFUSED, 1);
         ts_count_error(error);
@@ -169,7 +169,7 @@
     }
 }
 
-static void take_lost(void *context, const char *address)
+static void handle_disconnect(void *context, const char *address)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -183,11 +183,11 @@
     }
 }
 
-static void take_view(const ts_view_t *view)
+static void learn_view_members(const ts_view_t *view)
 {
     for (size_t i = 0; i < view->count; i++) {
         if (!view->members[i].is_self) {
-            learn_peer(view->members[i].name, view->members[i].address);
+            update_peer(view->members[i].name, view->members[i].address);
         }
     }
 }
@@ -196,13 +196,13 @@
 {
     switch (message->type) {
     case TS_MESSAGE_SUBREQUESTS:
-        keep_for(find_peer(((ts_subrequests_message_t *)message)->peer), message);
+        queue_message(find_peer(((ts_subrequests_message_t *)message)->peer), message);
         break;
     case TS_MESSAGE_SUBREPLIES:
-        keep_for(find_peer(((ts_subreply_message_t *)message)->peer), message);
+        queue_message(find_peer(((ts_subreply_message_t *)message)->peer), message);
         break;
     case TS_MESSAGE_CANCEL:
-        keep_for(find_peer(((ts_cancel_message_t *)message)->peer), message);
+        queue_message(find_peer(((ts_cancel_message_t *)message)->peer), message);
         break;
     case TS_MESSAGE_GOSSIP:
         send_gossip((ts_gossip_message_t *)message);
@@ -211,7 +211,7 @@
         send_document((ts_document_message_t *)message);
         break;
     case TS_MESSAGE_VIEW:
-        take_view(((ts_view_message_t *)message)->view);
+        learn_view_members(((ts_view_message_t *)message)->view);
         break;
     default:
         break;
@@ -226,9 +226,10 @@
 }
 
 /*
- * nng starts its threads at the first call and they inherit the affinity of the caller. On one core
- * they wake each other without crossing cores, which takes less processor time a message; but they
- * can't leave that core when others take it, so an operator chooses it.
+ * nng starts its threads at the first call, and they inherit the caller's CPU affinity. Pinned to
+ * one core they wake each other without crossing cores, which costs less CPU time per message. But
+ * they cannot move away when other processes load that core, so pinning is the operator's choice
+ * (setting `cpu`).
  */
 static ts_error_t open_link(ts_node_t *node)
 {
@@ -243,13 +244,13 @@
         CPU_SET(core, &one);
         pthread_setaffinity_np(self, sizeof(one), &one);
     }
-    mesh.link = ts_peer_link_open(node->loop, settings->peers, take_bytes, &mesh);
+    mesh.link = ts_peer_link_open(node->loop, settings->peers, receive_frame, &mesh);
     if (is_known)
         pthread_setaffinity_np(self, sizeof(all), &all);
     if (mesh.link == NULL)
         return TS_E_LISTEN;
-    ts_peer_link_set_buffer(mesh.link, BUFFER_FRAMES);
-    ts_peer_link_on_lost(mesh.link, take_lost);
+    ts_peer_link_set_buffer(mesh.link, SEND_BUFFER_FRAMES);
+    ts_peer_link_on_lost(mesh.link, handle_disconnect);
     return TS_OK;
 }
 
@@ -260,7 +261,7 @@
     mesh.identity.address = node->settings->advertise;
     mesh.identity.incarnation = node->incarnation;
     mesh.peers = g_hash_table_new(g_int64_hash, g_int64_equal);
-    mesh.dirty = g_ptr_array_new();
+    mesh.peers_to_flush = g_ptr_array_new();
     mesh.task = ts_task_create(node->tasks, "mesh", handle_message, &mesh);
     return open_link(node);
 }
@@ -272,8 +273,8 @@
     mesh.membership = ts_task_find(node->tasks, "membership");
     mesh.configuration = ts_task_find(node->tasks, "configuration");
     ts_task_on_drained(mesh.task, flush_peers);
-    uv_timer_init(node->loop, &mesh.housekeeping);
-    uv_timer_start(&mesh.housekeeping, close_idle_peers, HOUSEKEEPING_MS, HOUSEKEEPING_MS);
+    uv_timer_init(node->loop, &mesh.sweep_timer);
+    uv_timer_start(&mesh.sweep_timer, close_idle_peers, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS);
     return TS_OK;
 }
 
@@ -284,7 +285,9 @@
 }
 
 static const ts_task_ops_t mesh_ops = {open_mesh, start_mesh, NULL, NULL, describe_mesh, NULL};
-/* After the broker and before the front: what the front sends leaves before the local broker works.
+/*
+ * Ordered after the broker and before the front: what the front sends leaves the node before the
+ * local broker starts to work.
  */
 TS_REGISTER_PLUGIN(mesh_plugin, TS_PLUGIN_TASK, "mesh", 2, &mesh_ops,
                    "carries messages between nodes over nng")
--- a/src/control/operators.c
+++ b/src/control/operators.c
@@ -1,4 +1,4 @@
-/** The operators' address: health, metrics and the status view, apart from the callers'. */
+/** HTTP server for operators: health, metrics and status, on a separate address from callers. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -46,7 +46,7 @@
     g_string_free(text, TRUE);
 }
 
-static bool is_path(const ts_http_request_t *request, const char *path)
+static bool has_path(const ts_http_request_t *request, const char *path)
 {
     return request->path_length == strlen(path) &&
            memcmp(request->path, path, request->path_length) == 0;
@@ -58,13 +58,13 @@
     ts_node_t *node = context;
     if (request->method_length != 3 || memcmp(request->method, "GET", 3) != 0) {
         reply_text(exchange, 405, "only GET\n");
-    } else if (is_path(request, "/health/live")) {
+    } else if (has_path(request, "/health/live")) {
         reply_text(exchange, 200, "live\n");
-    } else if (is_path(request, "/health/ready")) {
+    } else if (has_path(request, "/health/ready")) {
         reply_ready(node, exchange);
-    } else if (is_path(request, "/metrics")) {
+    } else if (has_path(request, "/metrics")) {
         reply_metrics(exchange);
-    } else if (is_path(request, "/status")) {
+    } else if (has_path(request, "/status")) {
         reply_status(node, exchange);
     } else {
         reply_text(exchange, 404, "see /health/live, /health/ready, /metrics, /status\n");
--- a/src/control/platform_http.c
+++ b/src/control/platform_http.c
@@ -1,6 +1,6 @@
 /**
- * The platform over HTTP: GET /config (YAML, with an ETag that is the quoted version) and GET
- * /machines (JSON). The forms are described in docs/API.md.
+ * Platform plug-in for HTTP: GET /config (YAML, with the quoted version as ETag) and GET /machines
+ * (JSON). The formats are described in docs/API.md.
  */
 #include <inttypes.h>
 #include <jansson.h>
@@ -10,10 +10,10 @@
 #include "tealspar/platform.h"
 #include "tealspar/plugin.h"
 
-#define CONNECTIONS 4
+#define MAX_CONNECTIONS 4
 #define HTTP_OK 200
 #define HTTP_NOT_MODIFIED 304
-#define HEADER_SIZE 64
+#define HEADER_MAX 64
 
 typedef struct document_call {
     ts_platform_document_t done;
@@ -28,10 +28,10 @@
 static ts_error_t open_platform(void **handle, const ts_node_t *node)
 {
     return ts_http_pool_open((ts_http_pool_t **)handle, node->loop, node->settings->platform,
-                             CONNECTIONS);
+                             MAX_CONNECTIONS);
 }
 
-static void finish_document(void *context, const ts_http_result_t *result)
+static void on_document(void *context, const ts_http_result_t *result)
 {
     document_call_t *call = context;
     if (result->error != TS_OK) {
@@ -46,15 +46,15 @@
     g_free(call);
 }
 
-static void read_document(void *pool, uint64_t have, ts_platform_document_t done, void *context)
+static void read_document(void *pool, uint64_t version, ts_platform_document_t done, void *context)
 {
-    char header[HEADER_SIZE];
-    g_snprintf(header, sizeof(header), "if-none-match: \"%" PRIu64 "\"\r\n", have);
+    char header[HEADER_MAX];
+    g_snprintf(header, sizeof(header), "if-none-match: \"%" PRIu64 "\"\r\n", version);
     document_call_t *call = g_new0(document_call_t, 1);
     call->done = done;
     call->context = context;
     ts_http_send_t send = {"GET", "/config", header, NULL, 0};
-    ts_http_call(pool, &send, finish_document, call);
+    ts_http_call(pool, &send, on_document, call);
 }
 
 static bool add_machine(ts_machines_message_t *message, const json_t *row)
@@ -85,7 +85,7 @@
     return message;
 }
 
-static void finish_machines(void *context, const ts_http_result_t *result)
+static void on_machines(void *context, const ts_http_result_t *result)
 {
     machines_call_t *call = context;
     ts_error_t error = result->error;
@@ -104,7 +104,7 @@
     call->done = done;
     call->context = context;
     ts_http_send_t send = {"GET", "/machines", NULL, NULL, 0};
-    ts_http_call(pool, &send, finish_machines, call);
+    ts_http_call(pool, &send, on_machines, call);
 }
 
 static const ts_platform_t platform_http = {open_platform, read_document, read_machines};
--- a/src/control/platform_reader.c
+++ b/src/control/platform_reader.c
@@ -1,7 +1,7 @@
 /**
- * The platform reader: in each zone a few nodes, chosen by rendezvous among the live, read the
- * configuration and the list of machines; the others hear of both by gossip. A node that has no
- * view yet reads for itself.
+ * The platform reader task: in each zone a few live nodes, chosen by rendezvous hashing, poll the
+ * platform for the configuration and the machine list; the others learn of both by gossip. A node
+ * without a view polls for itself.
  */
 #include "tealspar/platform.h"
 
@@ -14,14 +14,14 @@
 
 #define READERS_PER_ZONE 2U
 #define POLL_MS 500
-#define MACHINES_EVERY 4U
+#define MACHINES_EVERY_POLLS 4U
 /*
- * A document is passed on only when the list of machines was read too, so that a node that starts
- * knows whom to ask for a newer one; after so many polls without a list it is passed on anyway.
+ * A document is forwarded only once the machine list was read too, so that a starting node knows
+ * the peers that may have a newer one. After this many polls without a list it is forwarded anyway.
  */
-#define POLLS_WITHOUT_LIST 40U
-/* A node that is no reader still looks at the list now and then, to find itself a way back in. */
-#define MACHINES_EVERY_OTHERS 120U
+#define MAX_POLLS_WITHOUT_MACHINES 40U
+/* A non-reader still reads the machine list occasionally, so that an isolated node can rejoin. */
+#define NON_READER_MACHINES_EVERY_POLLS 120U
 
 typedef struct reader {
     const ts_platform_t *platform;
@@ -29,17 +29,17 @@
     ts_task_t *configuration;
     ts_task_t *membership;
     ts_timer_t timer;
-    void *handle; /* the plug-in's */
-    uint64_t have;
+    void *handle; /* of the platform plug-in */
+    uint64_t known_version;
     unsigned polls;
     bool is_reader;
-    bool is_document_out;
-    bool is_machines_out;
+    bool is_document_pending;
+    bool is_machines_pending;
     bool is_lost;
-    bool has_machines; /* the list was read at least once */
+    bool has_machines; /* the machine list was read at least once */
 } reader_t;
 
-static void note_result(reader_t *reader, ts_error_t error)
+static void record_result(reader_t *reader, ts_error_t error)
 {
     bool is_lost = error != TS_OK;
     ts_count(TS_COUNTER_PLATFORM_FAILURES, is_lost);
@@ -50,13 +50,13 @@
     }
 }
 
-static void take_document(void *context, ts_error_t error, const char *text, size_t length)
+static void handle_document(void *context, ts_error_t error, const char *text, size_t length)
 {
     reader_t *reader = context;
-    reader->is_document_out = false;
-    note_result(reader, error);
-    bool knows_peers = reader->has_machines || reader->polls > POLLS_WITHOUT_LIST;
-    if (error != TS_OK || text == NULL || !knows_peers) {
+    reader->is_document_pending = false;
+    record_result(reader, error);
+    bool has_peers = reader->has_machines || reader->polls > MAX_POLLS_WITHOUT_MACHINES;
+    if (error != TS_OK || text == NULL || !has_peers) {
         return;
     }
     ts_document_message_t *message = ts_document_message(NULL, NULL);
@@ -65,11 +65,11 @@
     ts_task_send(reader->configuration, &message->head);
 }
 
-static void take_machines(void *context, ts_error_t error, ts_machines_message_t *machines)
+static void handle_machines(void *context, ts_error_t error, ts_machines_message_t *machines)
 {
     reader_t *reader = context;
-    reader->is_machines_out = false;
-    note_result(reader, error);
+    reader->is_machines_pending = false;
+    record_result(reader, error);
     if (machines != NULL) {
         reader->has_machines = true;
         ts_task_send(reader->membership, &machines->head);
@@ -79,20 +79,21 @@
 static void poll_platform(ts_timer_t *timer)
 {
     reader_t *reader = timer->data;
-    unsigned every = reader->is_reader ? MACHINES_EVERY : MACHINES_EVERY_OTHERS;
-    if (reader->is_reader && !reader->is_document_out) {
-        reader->is_document_out = true;
-        reader->platform->read_document(reader->handle, reader->have, take_document, reader);
+    unsigned every = reader->is_reader ? MACHINES_EVERY_POLLS : NON_READER_MACHINES_EVERY_POLLS;
+    if (reader->is_reader && !reader->is_document_pending) {
+        reader->is_document_pending = true;
+        reader->platform->read_document(reader->handle, reader->known_version, handle_document,
+                                        reader);
     }
     bool is_due = !reader->has_machines || reader->polls % every == 0;
     reader->polls++;
-    if (is_due && !reader->is_machines_out) {
-        reader->is_machines_out = true;
-        reader->platform->read_machines(reader->handle, take_machines, reader);
+    if (is_due && !reader->is_machines_pending) {
+        reader->is_machines_pending = true;
+        reader->platform->read_machines(reader->handle, handle_machines, reader);
     }
 }
 
-/* Whether this node is among the highest-ranked live nodes of its zone. */
+/* Whether this node is among the READERS_PER_ZONE highest-ranked live nodes of its zone. */
 static bool ranks_as_reader(const ts_view_t *view)
 {
     const ts_view_member_t *self = NULL;
@@ -105,8 +106,9 @@
     uint64_t key = ts_hash_text("platform reader");
     for (size_t i = 0; self != NULL && i < view->count; i++) {
         const ts_view_member_t *member = &view->members[i];
-        bool competes = strcmp(member->zone, self->zone) == 0 && member->state == TS_MEMBER_LIVE;
-        higher += competes && ts_hash_mix(member->id, key) > ts_hash_mix(self->id, key);
+        bool is_candidate =
+            strcmp(member->zone, self->zone) == 0 && member->state == TS_MEMBER_LIVE;
+        higher += is_candidate && ts_hash_mix(member->id, key) > ts_hash_mix(self->id, key);
     }
     return higher < READERS_PER_ZONE;
 }
@@ -117,7 +119,7 @@
     if (message->type == TS_MESSAGE_VIEW) {
         reader->is_reader = ranks_as_reader(((ts_view_message_t *)message)->view);
     } else if (message->type == TS_MESSAGE_DECLARATIONS) {
-        reader->have = ((ts_declarations_message_t *)message)->declarations->version;
+        reader->known_version = ((ts_declarations_message_t *)message)->declarations->version;
     }
 }
 
--- a/src/control/store_client.c
+++ b/src/control/store_client.c
@@ -1,4 +1,4 @@
-/** Calls to the configuration service. */
+/** HTTP client for the configuration service. */
 #include "tealspar/store_client.h"
 
 #include <glib.h>
@@ -12,16 +12,17 @@
 #define HEAD_MAX 65536
 #define BODY_MAX (16U * 1024U * 1024U)
 
-/* A connection lives apart from the client: it is freed when its handle is closed. */
-typedef struct link {
+/* Allocated separately from the client, because it is freed only once libuv has closed its handle.
+ */
+typedef struct connection {
     uv_tcp_t socket;
-    uv_connect_t connecting;
-    uv_write_t writing;
-    ts_store_client_t *client; /**< NULL once given up */
-    ts_http_message_t answer;
-    GString *sending;
-    bool is_up;
-} link_t;
+    uv_connect_t connect_req;
+    uv_write_t write_req;
+    ts_store_client_t *client; /**< NULL once closed by the client */
+    ts_http_message_t response;
+    GString *write_buffer;
+    bool is_connected;
+} connection_t;
 
 struct ts_store_client {
     uv_loop_t *loop;
@@ -30,153 +31,155 @@
     ts_store_done_t done;
     void *context;
     uv_timer_t timeout;
-    link_t *link;
-    bool is_calling;
+    connection_t *connection;
+    bool is_call_pending;
     GString *request;
 };
 
-static void free_link(uv_handle_t *handle)
+static void free_connection(uv_handle_t *handle)
 {
-    link_t *link = handle->data;
-    ts_http_message_clear(&link->answer);
-    g_string_free(link->sending, TRUE);
-    g_free(link);
+    connection_t *connection = handle->data;
+    ts_http_message_clear(&connection->response);
+    g_string_free(connection->write_buffer, TRUE);
+    g_free(connection);
 }
 
-static void drop_link(ts_store_client_t *client)
+static void close_connection(ts_store_client_t *client)
 {
-    link_t *link = client->link;
-    if (link != NULL) {
-        client->link = NULL;
-        link->client = NULL;
-        uv_close((uv_handle_t *)&link->socket, free_link);
+    connection_t *connection = client->connection;
+    if (connection != NULL) {
+        client->connection = NULL;
+        connection->client = NULL;
+        uv_close((uv_handle_t *)&connection->socket, free_connection);
     }
 }
 
-/* Ends the call; `body` may belong to the link, which is dropped afterwards if it is spoilt. */
-static void end_call(ts_store_client_t *client, ts_error_t error)
+/* Finishes the pending call. The body is copied, as the connection may be closed before `done`. */
+static void finish_call(ts_store_client_t *client, ts_error_t error)
 {
-    link_t *link = client->link;
-    if (!client->is_calling) {
+    connection_t *connection = client->connection;
+    if (!client->is_call_pending) {
         return;
     }
-    client->is_calling = false;
+    client->is_call_pending = false;
     uv_timer_stop(&client->timeout);
     if (error != TS_OK) {
         ts_count(TS_COUNTER_STORE_FAILURES, 1);
         ts_count_error(error);
-        drop_link(client);
+        close_connection(client);
         client->done(client->context, error, NULL);
         return;
     }
-    const ts_http_message_t *message = &link->answer;
+    const ts_http_message_t *message = &connection->response;
     GString *body = g_string_new_len(message->body->str, (gssize)message->body->len);
     const char *epoch = ts_http_message_find(message, client->dialect->headers.store_epoch);
-    ts_store_answer_t answer = {.status = message->parser.status_code,
-                                .epoch = client->dialect->read_epoch(epoch),
-                                .body = body->str,
-                                .length = body->len};
+    ts_store_answer_t response = {.status = message->parser.status_code,
+                                  .epoch = client->dialect->read_epoch(epoch),
+                                  .body = body->str,
+                                  .length = body->len};
     if (!message->keeps_alive) {
-        drop_link(client);
+        close_connection(client);
     } else {
-        ts_http_message_reset(&link->answer);
+        ts_http_message_reset(&connection->response);
     }
-    client->done(client->context, TS_OK, &answer);
+    client->done(client->context, TS_OK, &response);
     g_string_free(body, TRUE);
 }
 
-static void call_timed_out(uv_timer_t *timer)
+static void on_timeout(uv_timer_t *timer)
 {
-    end_call(timer->data, TS_E_DEADLINE);
+    finish_call(timer->data, TS_E_DEADLINE);
 }
 
-static void fail_soon(uv_timer_t *timer)
+static void fail_connect(uv_timer_t *timer)
 {
-    end_call(timer->data, TS_E_CONNECT);
+    finish_call(timer->data, TS_E_CONNECT);
 }
 
-static void write_done(uv_write_t *request, int status)
+static void on_written(uv_write_t *request, int status)
 {
-    link_t *link = request->data;
-    if (status < 0 && link->client != NULL) {
-        end_call(link->client, TS_E_IO);
+    connection_t *connection = request->data;
+    if (status < 0 && connection->client != NULL) {
+        finish_call(connection->client, TS_E_IO);
     }
 }
 
-static void write_request(link_t *link)
+static void write_request(connection_t *connection)
 {
-    g_string_assign(link->sending, link->client->request->str);
-    uv_buf_t buffer = uv_buf_init(link->sending->str, (unsigned)link->sending->len);
-    link->writing.data = link;
-    if (uv_write(&link->writing, (uv_stream_t *)&link->socket, &buffer, 1, write_done) != 0) {
-        uv_timer_start(&link->client->timeout, fail_soon, 0, 0);
+    g_string_assign(connection->write_buffer, connection->client->request->str);
+    uv_buf_t buffer =
+        uv_buf_init(connection->write_buffer->str, (unsigned)connection->write_buffer->len);
+    connection->write_req.data = connection;
+    if (uv_write(&connection->write_req, (uv_stream_t *)&connection->socket, &buffer, 1,
+                 on_written) != 0) {
+        uv_timer_start(&connection->client->timeout, fail_connect, 0, 0);
     }
 }
 
-static void allocate(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
+static void allocate_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
 {
-    static char bytes[65536]; /* one loop, and each read is used up at once */
+    static char bytes[65536]; /* shared: there is one loop, and each read is consumed at once */
     *buffer = uv_buf_init(bytes, sizeof(bytes));
 }
 
-static void read_bytes(uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
+static void on_read(uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
 {
-    link_t *link = stream->data;
-    ts_store_client_t *client = link->client;
+    connection_t *connection = stream->data;
+    ts_store_client_t *client = connection->client;
     if (length == 0 || client == NULL) {
         return;
     }
-    if (length < 0 || !client->is_calling) {
-        if (length == UV_EOF && client->is_calling && ts_stream_ended_in_order(stream)) {
-            ts_http_message_finish(&link->answer);
+    if (length < 0 || !client->is_call_pending) {
+        if (length == UV_EOF && client->is_call_pending && ts_stream_ended_in_order(stream)) {
+            ts_http_message_finish(&connection->response);
         }
-        if (client->is_calling) {
-            end_call(client, link->answer.is_complete ? TS_OK : TS_E_IO);
+        if (client->is_call_pending) {
+            finish_call(client, connection->response.is_complete ? TS_OK : TS_E_IO);
         } else {
-            drop_link(client);
+            close_connection(client);
         }
         return;
     }
-    (void)ts_http_message_feed(&link->answer, buffer->base, (size_t)length);
-    if (link->answer.error != TS_OK) {
-        end_call(client, TS_E_BAD_ANSWER);
-    } else if (link->answer.is_complete) {
-        end_call(client, TS_OK);
+    (void)ts_http_message_feed(&connection->response, buffer->base, (size_t)length);
+    if (connection->response.error != TS_OK) {
+        finish_call(client, TS_E_BAD_ANSWER);
+    } else if (connection->response.is_complete) {
+        finish_call(client, TS_OK);
     }
 }
 
-static void connected(uv_connect_t *request, int status)
+static void on_connected(uv_connect_t *request, int status)
 {
-    link_t *link = request->data;
-    if (link->client == NULL) {
+    connection_t *connection = request->data;
+    if (connection->client == NULL) {
         return;
     }
     if (status < 0) {
-        end_call(link->client, TS_E_CONNECT);
+        finish_call(connection->client, TS_E_CONNECT);
         return;
     }
-    link->is_up = true;
-    uv_read_start((uv_stream_t *)&link->socket, allocate, read_bytes);
-    write_request(link);
+    connection->is_connected = true;
+    uv_read_start((uv_stream_t *)&connection->socket, allocate_buffer, on_read);
+    write_request(connection);
 }
 
-static bool open_link(ts_store_client_t *client)
+static bool open_connection(ts_store_client_t *client)
 {
     struct sockaddr_storage address;
     if (ts_address_parse(client->address, &address) != TS_OK) {
         return false;
     }
-    link_t *link = g_new0(link_t, 1);
-    link->client = client;
-    link->sending = g_string_new(NULL);
-    ts_http_message_init(&link->answer, false, HEAD_MAX, BODY_MAX);
-    uv_tcp_init(client->loop, &link->socket);
-    uv_tcp_nodelay(&link->socket, 1);
-    link->socket.data = link;
-    link->connecting.data = link;
-    client->link = link;
-    return uv_tcp_connect(&link->connecting, &link->socket, (const struct sockaddr *)&address,
-                          connected) == 0;
+    connection_t *connection = g_new0(connection_t, 1);
+    connection->client = client;
+    connection->write_buffer = g_string_new(NULL);
+    ts_http_message_init(&connection->response, false, HEAD_MAX, BODY_MAX);
+    uv_tcp_init(client->loop, &connection->socket);
+    uv_tcp_nodelay(&connection->socket, 1);
+    connection->socket.data = connection;
+    connection->connect_req.data = connection;
+    client->connection = connection;
+    return uv_tcp_connect(&connection->connect_req, &connection->socket,
+                          (const struct sockaddr *)&address, on_connected) == 0;
 }
 
 ts_store_client_t *ts_store_client_create(uv_loop_t *loop, const ts_dialect_t *dialect,
@@ -201,38 +204,38 @@
     }
     g_free(client->address);
     client->address = g_strdup(address);
-    if (client->is_calling) {
-        end_call(client, TS_E_CANCELLED);
+    if (client->is_call_pending) {
+        finish_call(client, TS_E_CANCELLED);
     } else {
-        drop_link(client);
+        close_connection(client);
     }
 }
 
 void ts_store_client_abandon(ts_store_client_t *client)
 {
-    if (!client->is_calling)
+    if (!client->is_call_pending)
         return;
-    client->is_calling = false;
+    client->is_call_pending = false;
     uv_timer_stop(&client->timeout);
-    drop_link(client);
+    close_connection(client);
 }
 
 void ts_store_client_reconnect(ts_store_client_t *client)
 {
-    drop_link(client);
+    close_connection(client);
 }
 
 void ts_store_client_get(ts_store_client_t *client, const char *target, uint32_t timeout_ms)
 {
-    client->is_calling = true;
+    client->is_call_pending = true;
     ts_count(TS_COUNTER_STORE_CALLS, 1);
     g_string_printf(client->request,
                     "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", target,
                     client->address);
-    uv_timer_start(&client->timeout, call_timed_out, timeout_ms, 0);
-    if (client->link != NULL) {
-        write_request(client->link);
-    } else if (!open_link(client)) {
-        uv_timer_start(&client->timeout, fail_soon, 0, 0);
+    uv_timer_start(&client->timeout, on_timeout, timeout_ms, 0);
+    if (client->connection != NULL) {
+        write_request(client->connection);
+    } else if (!open_connection(client)) {
+        uv_timer_start(&client->timeout, fail_connect, 0, 0);
     }
 }
--- a/src/control/store_mirror.c
+++ b/src/control/store_mirror.c
@@ -1,4 +1,4 @@
-/** What this node knows of the configuration service. */
+/** Local mirror of the configuration service's entries. */
 #include "tealspar/store_mirror.h"
 
 #include <string.h>
@@ -7,40 +7,41 @@
 #include "tealspar/log.h"
 #include "tealspar/store_precedence.h"
 
-/* The news that an entry is gone is kept for peers that were away. */
-#define GONE_KEPT_US (60 * TS_US_PER_S)
+/* Deleted entries are kept as tombstones this long, for peers that were unreachable meanwhile. */
+#define TOMBSTONE_RETENTION_US (60 * TS_US_PER_S)
 
-/* After the service came back, a back end writes again with its second heartbeat at the latest. */
-#define HEARTBEATS_TO_WRITE_AGAIN 2U
-#define WRITE_AGAIN_MARGIN_MS 600U
-/* An operator writes again what was lost within so long. */
-#define OPERATOR_WRITES_AGAIN_MS 5000U
+/* After a restore of the service, a back end rewrites its entry by its second heartbeat. */
+#define REWRITE_HEARTBEATS 2U
+#define REWRITE_MARGIN_MS 600U
+/* Time that operators get to rewrite their entries after a restore. */
+#define OPERATOR_REWRITE_MS 5000U
 
-/* Bytes of an entry's id in the line that tells that it is refused. */
-#define REFUSED_ID_MAX 64
+/* Maximum length of an entry's id in the log line about a refused entry. */
+#define LOGGED_ID_MAX 64
 
-typedef struct kept {
-    ts_store_entry_t entry;     /* stands */
-    ts_store_entry_t *restored; /* what the service gives, while that stands against it; or NULL */
-    uint64_t version;           /* of a configuration */
-    ts_time_us_t changed_us;
-} kept_t;
+typedef struct mirror_entry {
+    ts_store_entry_t entry; /* effective */
+    /* Entry of the current epoch while one of an earlier epoch is effective; otherwise NULL. */
+    ts_store_entry_t *deferred;
+    uint64_t version; /* configurations only */
+    ts_time_us_t updated_us;
+} mirror_entry_t;
 
 struct ts_store_mirror {
     ts_gateway_t *gateway;
-    GHashTable *entries; /* key -> kept_t, owned */
+    GHashTable *entries; /* key -> mirror_entry_t, owned */
     ts_store_position_t position;
-    ts_store_position_t forgotten; /* some gone entry up to here is forgotten */
+    ts_store_position_t swept; /* latest position of a removed tombstone */
     uint64_t base;
-    uint64_t held_epoch; /* in which entries of earlier ones were last held; 0: never */
-    uv_timer_t hold;
-    bool holds_instances;
-    bool holds_evacuations;
+    uint64_t grace_epoch; /* epoch of the last grace period; 0: none */
+    uv_timer_t grace_timer;
+    bool is_instance_grace;
+    bool is_evacuation_grace;
     ts_time_us_t confirmed_us;
-    bool is_primed;
+    bool is_loaded;
 };
 
-static void end_hold(uv_timer_t *timer);
+static void on_grace_timer(uv_timer_t *timer);
 
 static void clear_entry(ts_store_entry_t *entry)
 {
@@ -49,43 +50,43 @@
     g_free(entry->value);
 }
 
-static void drop_restored(kept_t *kept)
+static void clear_deferred(mirror_entry_t *item)
 {
-    if (kept->restored == NULL)
+    if (item->deferred == NULL)
         return;
-    clear_entry(kept->restored);
-    g_clear_pointer(&kept->restored, g_free);
+    clear_entry(item->deferred);
+    g_clear_pointer(&item->deferred, g_free);
 }
 
-static void free_kept(gpointer data)
+static void free_item(gpointer data)
 {
-    kept_t *kept = data;
-    drop_restored(kept);
-    clear_entry(&kept->entry);
-    g_free(kept);
+    mirror_entry_t *item = data;
+    clear_deferred(item);
+    clear_entry(&item->entry);
+    g_free(item);
 }
 
 ts_store_mirror_t *ts_store_mirror_create(ts_gateway_t *gateway)
 {
     ts_store_mirror_t *mirror = g_new0(ts_store_mirror_t, 1);
     mirror->gateway = gateway;
-    mirror->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_kept);
-    uv_timer_init(gateway->loop, &mirror->hold);
-    mirror->hold.data = mirror;
+    mirror->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_item);
+    uv_timer_init(gateway->loop, &mirror->grace_timer);
+    mirror->grace_timer.data = mirror;
     return mirror;
 }
 
-/* -- Putting in force -------------------------------------------------------------------------- */
+/* -- Applying to the registry ------------------------------------------------------------------ */
 
 /*
- * An entry that names no back end to use: one that was good before has left. Told once for each
- * change of the entry.
+ * Handles an invalid instance entry: removes the back end that an earlier, valid version of the
+ * entry may have added. Logged once per change of the entry.
  */
 static void refuse_instance(ts_registry_t *registry, const ts_store_entry_t *entry,
                             ts_error_t error, ts_time_us_t now_us)
 {
     ts_count_error(error);
-    ts_log(TS_EVENT_BACKEND_REFUSED, "entry=%.*s reason=%s bytes=%zu", REFUSED_ID_MAX, entry->id,
+    ts_log(TS_EVENT_BACKEND_REFUSED, "entry=%.*s reason=%s bytes=%zu", LOGGED_ID_MAX, entry->id,
            ts_error_name(error), entry->length);
     ts_registry_remove(registry, entry->id, now_us);
 }
@@ -118,7 +119,7 @@
         ts_registry_set_evacuated(mirror->gateway->registry, entry->id, !entry->is_gone, now_us);
 }
 
-/* -- Keeping ----------------------------------------------------------------------------------- */
+/* -- Storing ----------------------------------------------------------------------------------- */
 
 static void copy_entry(ts_store_entry_t *copy, const ts_store_entry_t *entry)
 {
@@ -128,77 +129,78 @@
     copy->value = entry->value == NULL ? NULL : g_memdup2(entry->value, entry->length + 1);
 }
 
-static kept_t *keep_entry(ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
-                          ts_time_us_t now_us)
+static mirror_entry_t *add_item(ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
+                                ts_time_us_t now_us)
 {
-    kept_t *kept = g_new0(kept_t, 1);
-    copy_entry(&kept->entry, entry);
-    kept->changed_us = now_us;
-    g_hash_table_replace(mirror->entries, kept->entry.key, kept);
-    return kept;
+    mirror_entry_t *item = g_new0(mirror_entry_t, 1);
+    copy_entry(&item->entry, entry);
+    item->updated_us = now_us;
+    g_hash_table_replace(mirror->entries, item->entry.key, item);
+    return item;
 }
 
-/* The entry stands from now on; its key does not change, as the table goes by that. */
-static void set_standing(kept_t *kept, const ts_store_entry_t *entry, ts_time_us_t now_us)
+/* Makes `entry` the effective one. The key stays, as it is the key of the hash table. */
+static void replace_entry(mirror_entry_t *item, const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
-    g_free(kept->entry.value);
-    kept->entry.value = entry->value == NULL ? NULL : g_memdup2(entry->value, entry->length + 1);
-    kept->entry.length = entry->length;
-    kept->entry.changed = entry->changed;
-    kept->entry.is_gone = entry->is_gone;
-    kept->changed_us = now_us;
+    g_free(item->entry.value);
+    item->entry.value = entry->value == NULL ? NULL : g_memdup2(entry->value, entry->length + 1);
+    item->entry.length = entry->length;
+    item->entry.changed = entry->changed;
+    item->entry.is_gone = entry->is_gone;
+    item->updated_us = now_us;
 }
 
-static void set_gone(ts_store_mirror_t *mirror, kept_t *kept, ts_store_position_t position,
-                     ts_time_us_t now_us)
+static void mark_deleted(ts_store_mirror_t *mirror, mirror_entry_t *item,
+                         ts_store_position_t position, ts_time_us_t now_us)
 {
-    const ts_store_entry_t gone = {.changed = position, .is_gone = true};
-    set_standing(kept, &gone, now_us);
-    apply_entry(mirror, &kept->entry, now_us);
+    const ts_store_entry_t tombstone = {.changed = position, .is_gone = true};
+    replace_entry(item, &tombstone, now_us);
+    apply_entry(mirror, &item->entry, now_us);
 }
 
-static void keep_restored(kept_t *kept, const ts_store_entry_t *entry)
+static void set_deferred(mirror_entry_t *item, const ts_store_entry_t *entry)
 {
     ts_store_entry_t *copy = g_new0(ts_store_entry_t, 1);
     copy_entry(copy, entry);
-    drop_restored(kept);
-    kept->restored = copy;
+    clear_deferred(item);
+    item->deferred = copy;
 }
 
 /* -- Merging ----------------------------------------------------------------------------------- */
 
-static bool is_former(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
+static bool is_earlier_epoch(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
 {
     return entry->changed.epoch < mirror->position.epoch;
 }
 
-static ts_store_restore_t restore_of(const ts_store_mirror_t *mirror, ts_store_kind_t kind)
+static ts_store_restore_t epoch_state(const ts_store_mirror_t *mirror, ts_store_kind_t kind)
 {
     bool is_evacuation = kind == TS_STORE_EVACUATION;
     return (ts_store_restore_t){mirror->position.epoch, mirror->base,
-                                is_evacuation ? mirror->holds_evacuations
-                                              : mirror->holds_instances};
+                                is_evacuation ? mirror->is_evacuation_grace
+                                              : mirror->is_instance_grace};
 }
 
-static uint32_t instances_hold_ms(const ts_store_mirror_t *mirror)
+static uint32_t instance_grace_ms(const ts_store_mirror_t *mirror)
 {
     uint32_t heartbeat_ms = mirror->gateway->settings->heartbeat_ms;
-    return HEARTBEATS_TO_WRITE_AGAIN * heartbeat_ms + WRITE_AGAIN_MARGIN_MS;
+    return REWRITE_HEARTBEATS * heartbeat_ms + REWRITE_MARGIN_MS;
 }
 
-static void begin_hold(ts_store_mirror_t *mirror)
+static void start_grace_period(ts_store_mirror_t *mirror)
 {
-    mirror->held_epoch = mirror->position.epoch;
-    mirror->holds_instances = true;
-    mirror->holds_evacuations = true;
-    uv_timer_start(&mirror->hold, end_hold, instances_hold_ms(mirror), 0);
+    mirror->grace_epoch = mirror->position.epoch;
+    mirror->is_instance_grace = true;
+    mirror->is_evacuation_grace = true;
+    uv_timer_start(&mirror->grace_timer, on_grace_timer, instance_grace_ms(mirror), 0);
 }
 
 /*
- * Whether a configuration of that version replaces the known one. The version decides, and for one
- * that was written again the position.
+ * Whether a configuration replaces the known one: the higher version wins. If the same version was
+ * written again, the later position wins.
  */
-static bool is_newer_traffic(const kept_t *known, const ts_store_entry_t *entry, uint64_t version)
+static bool is_newer_traffic(const mirror_entry_t *known, const ts_store_entry_t *entry,
+                             uint64_t version)
 {
     if (known == NULL || version != known->version)
         return known == NULL || version > known->version;
@@ -213,104 +215,104 @@
     g_free(text);
 }
 
-static bool take_traffic(ts_store_mirror_t *mirror, const kept_t *known,
-                         const ts_store_entry_t *entry, ts_time_us_t now_us)
+static bool apply_traffic(ts_store_mirror_t *mirror, const mirror_entry_t *known,
+                          const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
     ts_problems_t problems;
     ts_problems_init(&problems);
     ts_traffic_t *traffic =
         mirror->gateway->dialect->read_traffic(entry->value, entry->length, &problems);
-    bool is_news = false;
+    bool is_newer = false;
     if (traffic == NULL) {
         refuse_traffic(&problems, entry->key);
     } else {
         ts_gauge_set(TS_COUNTER_CONFIG_VERSION_LISTED, (int64_t)traffic->version);
-        is_news = is_newer_traffic(known, entry, traffic->version);
-        if (is_news)
-            keep_entry(mirror, entry, now_us)->version = traffic->version;
+        is_newer = is_newer_traffic(known, entry, traffic->version);
+        if (is_newer)
+            add_item(mirror, entry, now_us)->version = traffic->version;
         ts_gateway_set_traffic(mirror->gateway, traffic);
     }
     ts_problems_clear(&problems);
-    return is_news;
+    return is_newer;
 }
 
-/* A configuration is never gone: it stands until a newer one is written. */
-static bool merge_traffic(ts_store_mirror_t *mirror, kept_t *known, const ts_store_entry_t *entry,
-                          ts_time_us_t now_us)
+/* Deleting a configuration has no effect: it stays active until a newer one is written. */
+static bool merge_traffic(ts_store_mirror_t *mirror, mirror_entry_t *known,
+                          const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
     if (entry->is_gone)
         return false;
     if (known == NULL || !ts_store_is_same(&known->entry, entry))
-        return take_traffic(mirror, known, entry, now_us);
+        return apply_traffic(mirror, known, entry, now_us);
     if (ts_store_position_compare(entry->changed, known->entry.changed) <= 0)
         return false;
     ts_gauge_set(TS_COUNTER_CONFIG_VERSION_LISTED, (int64_t)known->version);
     known->entry.changed = entry->changed;
-    known->changed_us = now_us;
+    known->updated_us = now_us;
     return true;
 }
 
-static void take_entry(ts_store_mirror_t *mirror, kept_t *known, const ts_store_entry_t *entry,
-                       ts_time_us_t now_us)
+static void set_effective(ts_store_mirror_t *mirror, mirror_entry_t *known,
+                          const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
     bool is_same = known != NULL && ts_store_is_same(&known->entry, entry);
     if (known == NULL)
-        known = keep_entry(mirror, entry, now_us);
+        known = add_item(mirror, entry, now_us);
     else
-        set_standing(known, entry, now_us);
-    if (!is_former(mirror, entry))
-        drop_restored(known);
+        replace_entry(known, entry, now_us);
+    if (!is_earlier_epoch(mirror, entry))
+        clear_deferred(known);
     if (!is_same)
         apply_entry(mirror, &known->entry, now_us);
 }
 
-/* The entry of an earlier epoch stands; what the present one gives waits beside it. */
-static void recall_entry(ts_store_mirror_t *mirror, kept_t *known, const ts_store_entry_t *entry,
-                         ts_time_us_t now_us)
+/* Makes an entry of an earlier epoch effective and defers the one of the current epoch. */
+static void reinstate_entry(ts_store_mirror_t *mirror, mirror_entry_t *known,
+                            const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
-    keep_restored(known, &known->entry);
-    set_standing(known, entry, now_us);
+    set_deferred(known, &known->entry);
+    replace_entry(known, entry, now_us);
     apply_entry(mirror, &known->entry, now_us);
 }
 
-/* One of an earlier epoch counts only while those stand. */
-static bool counts(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
+/* Entries of an earlier epoch are only relevant during their grace period. */
+static bool is_relevant(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
 {
-    return !is_former(mirror, entry) || restore_of(mirror, entry->kind).is_holding;
+    return !is_earlier_epoch(mirror, entry) || epoch_state(mirror, entry->kind).is_holding;
 }
 
-/* Whether the service gave something else since the entry that it is compared with stands. */
-static bool is_after_restored(const kept_t *known, const ts_store_entry_t *entry)
+/* Whether an entry was changed after the deferred one, if there is one. */
+static bool is_newer_than_deferred(const mirror_entry_t *known, const ts_store_entry_t *entry)
 {
-    return known->restored == NULL ||
-           ts_store_position_compare(entry->changed, known->restored->changed) > 0;
+    return known->deferred == NULL ||
+           ts_store_position_compare(entry->changed, known->deferred->changed) > 0;
 }
 
 static bool merge_entry(ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
                         ts_time_us_t now_us)
 {
-    kept_t *known = g_hash_table_lookup(mirror->entries, entry->key);
+    mirror_entry_t *known = g_hash_table_lookup(mirror->entries, entry->key);
     if (entry->kind == TS_STORE_TRAFFIC)
         return merge_traffic(mirror, known, entry, now_us);
-    if (entry->kind == TS_STORE_OTHER || !counts(mirror, entry))
+    if (entry->kind == TS_STORE_OTHER || !is_relevant(mirror, entry))
         return false;
     if (known == NULL) {
-        take_entry(mirror, NULL, entry, now_us);
+        set_effective(mirror, NULL, entry, now_us);
         return true;
     }
-    ts_store_restore_t restore = restore_of(mirror, entry->kind);
-    switch (ts_store_judge(mirror->gateway->dialect, &restore, &known->entry, entry)) {
+    ts_store_restore_t state = epoch_state(mirror, entry->kind);
+    switch (ts_store_judge(mirror->gateway->dialect, &state, &known->entry, entry)) {
     case TS_STORE_TAKE:
-        if (!is_former(mirror, entry) && !is_after_restored(known, entry))
+        if (!is_earlier_epoch(mirror, entry) && !is_newer_than_deferred(known, entry))
             return false;
-        take_entry(mirror, known, entry, now_us);
+        set_effective(mirror, known, entry, now_us);
         return true;
     case TS_STORE_HOLD:
-        if (is_after_restored(known, entry))
-            keep_restored(known, entry);
+        if (is_newer_than_deferred(known, entry))
+            set_deferred(known, entry);
         return false;
     case TS_STORE_RECALL:
-        recall_entry(mirror, known, entry, now_us);
+        reinstate_entry(mirror, known, entry, now_us);
         return true;
     case TS_STORE_PASS_OVER:
         break;
@@ -318,10 +320,10 @@
     return false;
 }
 
-static bool is_held_by_others(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
+static bool needs_grace_period(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
 {
-    return entry->kind != TS_STORE_TRAFFIC && is_former(mirror, entry) &&
-           mirror->held_epoch != mirror->position.epoch;
+    return entry->kind != TS_STORE_TRAFFIC && is_earlier_epoch(mirror, entry) &&
+           mirror->grace_epoch != mirror->position.epoch;
 }
 
 unsigned ts_store_mirror_apply(ts_store_mirror_t *mirror, const GPtrArray *entries,
@@ -329,13 +331,13 @@
 {
     unsigned applied = 0;
     ts_time_us_t now_us = ts_clock_now_us();
-    bool is_present = from.epoch == mirror->position.epoch;
+    bool is_current_epoch = from.epoch == mirror->position.epoch;
     for (guint i = 0; i < entries->len; i++) {
         const ts_store_entry_t *entry = g_ptr_array_index(entries, i);
         if (entry->changed.epoch > mirror->position.epoch)
             continue;
-        if (is_present && is_held_by_others(mirror, entry))
-            begin_hold(mirror);
+        if (is_current_epoch && needs_grace_period(mirror, entry))
+            start_grace_period(mirror);
         applied += merge_entry(mirror, entry, now_us);
     }
     return applied;
@@ -359,7 +361,7 @@
 
 /* -- Lists ------------------------------------------------------------------------------------- */
 
-static void log_restored(const ts_store_mirror_t *mirror, const ts_store_list_t *list)
+static void log_restore(const ts_store_mirror_t *mirror, const ts_store_list_t *list)
 {
     ts_store_position_t before = mirror->position;
     ts_log(TS_EVENT_PLATFORM_RESTORED,
@@ -372,19 +374,19 @@
 
 static void begin_epoch(ts_store_mirror_t *mirror, const ts_store_list_t *list)
 {
-    if (mirror->is_primed)
-        log_restored(mirror, list);
+    if (mirror->is_loaded)
+        log_restore(mirror, list);
     mirror->position = (ts_store_position_t){list->position.epoch, 0};
     mirror->base = list->position.revision;
     ts_gauge_set(TS_COUNTER_STORE_EPOCH, (int64_t)ts_store_epoch_told(list->position.epoch));
-    if (mirror->is_primed) {
+    if (mirror->is_loaded) {
         ts_count(TS_COUNTER_STORE_RESTORES, 1);
-        begin_hold(mirror);
+        start_grace_period(mirror);
     }
 }
 
-/* Keys that a list names as there in its own epoch. */
-static GHashTable *listed_keys(const ts_store_list_t *list)
+/* Returns the keys that are present in a list's own epoch. */
+static GHashTable *collect_listed_keys(const ts_store_list_t *list)
 {
     GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
     for (guint i = 0; i < list->entries->len; i++) {
@@ -395,29 +397,30 @@
     return keys;
 }
 
-static bool stands_unlisted(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
-                            ts_store_position_t position)
+static bool survives_list(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
+                          ts_store_position_t position)
 {
     if (entry->kind == TS_STORE_TRAFFIC || entry->is_gone)
         return true;
-    if (is_former(mirror, entry))
-        return restore_of(mirror, entry->kind).is_holding;
+    if (is_earlier_epoch(mirror, entry))
+        return epoch_state(mirror, entry->kind).is_holding;
     return entry->changed.revision > position.revision;
 }
 
-static void keep_only(ts_store_mirror_t *mirror, GHashTable *keys, ts_store_position_t position)
+static void delete_unlisted(ts_store_mirror_t *mirror, GHashTable *keys,
+                            ts_store_position_t position)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     ts_time_us_t now_us = ts_clock_now_us();
     g_hash_table_iter_init(&iterator, mirror->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        kept_t *kept = value;
-        if (g_hash_table_contains(keys, kept->entry.key))
+        mirror_entry_t *item = value;
+        if (g_hash_table_contains(keys, item->entry.key))
             continue;
-        drop_restored(kept);
-        if (!stands_unlisted(mirror, &kept->entry, position))
-            set_gone(mirror, kept, position, now_us);
+        clear_deferred(item);
+        if (!survives_list(mirror, &item->entry, position))
+            mark_deleted(mirror, item, position, now_us);
     }
 }
 
@@ -425,31 +428,34 @@
 {
     if (list->position.epoch > mirror->position.epoch)
         begin_epoch(mirror, list);
-    bool is_present = list->position.epoch == mirror->position.epoch;
-    if (is_present && list->base > 0)
+    bool is_current_epoch = list->position.epoch == mirror->position.epoch;
+    if (is_current_epoch && list->base > 0)
         mirror->base = MIN(mirror->base, list->base);
     unsigned applied = ts_store_mirror_apply(mirror, list->entries, list->position);
-    if (!is_present || list->position.revision < mirror->position.revision)
+    if (!is_current_epoch || list->position.revision < mirror->position.revision)
         return applied;
-    GHashTable *keys = listed_keys(list);
-    keep_only(mirror, keys, list->position);
+    GHashTable *keys = collect_listed_keys(list);
+    delete_unlisted(mirror, keys, list->position);
     g_hash_table_unref(keys);
-    mirror->is_primed = true;
+    mirror->is_loaded = true;
     ts_store_mirror_reach(mirror, list->position, list->as_of_us);
     return applied;
 }
 
-/* -- What stands from an earlier epoch --------------------------------------------------------- */
+/* -- End of the grace period ------------------------------------------------------------------- */
 
-/* Whether an entry of this kind stands against what the service gives no longer. */
-static bool is_time_over(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
+/* Whether an entry is of an earlier epoch and its grace period is over. */
+static bool has_grace_expired(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
 {
-    return entry->kind != TS_STORE_TRAFFIC && is_former(mirror, entry) &&
-           !restore_of(mirror, entry->kind).is_holding;
+    return entry->kind != TS_STORE_TRAFFIC && is_earlier_epoch(mirror, entry) &&
+           !epoch_state(mirror, entry->kind).is_holding;
 }
 
-/* The writers had the time to write again: what the service gives counts. */
-static void settle(ts_store_mirror_t *mirror)
+/*
+ * Applies the entries of the current epoch after the grace period: deferred ones become effective,
+ * and entries of earlier epochs that the service no longer has are marked deleted.
+ */
+static void apply_deferred(ts_store_mirror_t *mirror)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -458,16 +464,16 @@
     ts_time_us_t now_us = ts_clock_now_us();
     g_hash_table_iter_init(&iterator, mirror->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        kept_t *kept = value;
-        if (!is_time_over(mirror, &kept->entry))
+        mirror_entry_t *item = value;
+        if (!has_grace_expired(mirror, &item->entry))
             continue;
-        if (kept->restored != NULL) {
-            set_standing(kept, kept->restored, now_us);
-            drop_restored(kept);
-            apply_entry(mirror, &kept->entry, now_us);
+        if (item->deferred != NULL) {
+            replace_entry(item, item->deferred, now_us);
+            clear_deferred(item);
+            apply_entry(mirror, &item->entry, now_us);
             adopted++;
-        } else if (!kept->entry.is_gone) {
-            set_gone(mirror, kept, mirror->position, now_us);
+        } else if (!item->entry.is_gone) {
+            mark_deleted(mirror, item, mirror->position, now_us);
             removed++;
         }
     }
@@ -476,23 +482,23 @@
            (unsigned long)mirror->position.revision, adopted, removed);
 }
 
-static void end_hold(uv_timer_t *timer)
+static void on_grace_timer(uv_timer_t *timer)
 {
     ts_store_mirror_t *mirror = timer->data;
-    uint32_t instances_ms = instances_hold_ms(mirror);
-    if (mirror->holds_instances && instances_ms < OPERATOR_WRITES_AGAIN_MS)
-        uv_timer_start(timer, end_hold, OPERATOR_WRITES_AGAIN_MS - instances_ms, 0);
+    uint32_t instance_ms = instance_grace_ms(mirror);
+    if (mirror->is_instance_grace && instance_ms < OPERATOR_REWRITE_MS)
+        uv_timer_start(timer, on_grace_timer, OPERATOR_REWRITE_MS - instance_ms, 0);
     else
-        mirror->holds_evacuations = false;
-    mirror->holds_instances = false;
-    settle(mirror);
+        mirror->is_evacuation_grace = false;
+    mirror->is_instance_grace = false;
+    apply_deferred(mirror);
 }
 
-/* -- Asking ------------------------------------------------------------------------------------ */
+/* -- Queries ----------------------------------------------------------------------------------- */
 
 bool ts_store_mirror_is_primed(const ts_store_mirror_t *mirror)
 {
-    return mirror->is_primed;
+    return mirror->is_loaded;
 }
 
 bool ts_store_mirror_is_empty(const ts_store_mirror_t *mirror)
@@ -515,10 +521,11 @@
     return mirror->confirmed_us;
 }
 
-/* Whether an entry of an earlier epoch is more than the news that it has gone. */
-static bool is_standing_former(const ts_store_mirror_t *mirror, const kept_t *kept)
+/* Whether an entry of an earlier epoch is effective, other than a tombstone that defers nothing. */
+static bool is_kept_from_earlier(const ts_store_mirror_t *mirror, const mirror_entry_t *item)
 {
-    return is_former(mirror, &kept->entry) && (!kept->entry.is_gone || kept->restored != NULL);
+    return is_earlier_epoch(mirror, &item->entry) &&
+           (!item->entry.is_gone || item->deferred != NULL);
 }
 
 unsigned ts_store_mirror_count_former(const ts_store_mirror_t *mirror)
@@ -528,48 +535,47 @@
     unsigned n = 0;
     g_hash_table_iter_init(&iterator, mirror->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
-        n += is_standing_former(mirror, value);
+        n += is_kept_from_earlier(mirror, value);
     return n;
 }
 
-static void add_former(const ts_store_mirror_t *mirror, GPtrArray *changes)
+static void add_kept_from_earlier(const ts_store_mirror_t *mirror, GPtrArray *changes)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, mirror->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        kept_t *kept = value;
-        if (is_standing_former(mirror, kept))
-            g_ptr_array_add(changes, &kept->entry);
+        mirror_entry_t *item = value;
+        if (is_kept_from_earlier(mirror, item))
+            g_ptr_array_add(changes, &item->entry);
     }
 }
 
-/* What the present epoch gives for a key; NULL: nothing. */
-static ts_store_entry_t *present_entry(const ts_store_mirror_t *mirror, kept_t *kept)
+/* Returns the entry of the current epoch, effective or deferred; NULL if there is none. */
+static ts_store_entry_t *current_epoch_entry(const ts_store_mirror_t *mirror, mirror_entry_t *item)
 {
-    return is_former(mirror, &kept->entry) ? kept->restored : &kept->entry;
+    return is_earlier_epoch(mirror, &item->entry) ? item->deferred : &item->entry;
 }
 
 GPtrArray *ts_store_mirror_changes(const ts_store_mirror_t *mirror, ts_store_position_t after,
                                    bool *is_whole)
 {
     const ts_store_position_t nothing = {0, 0};
-    bool knows_nothing = ts_store_position_compare(after, nothing) == 0;
-    bool is_foreign = after.epoch != mirror->position.epoch;
+    bool is_initial = ts_store_position_compare(after, nothing) == 0;
+    bool is_other_epoch = after.epoch != mirror->position.epoch;
     GPtrArray *changes = g_ptr_array_new();
     GHashTableIter iterator;
     gpointer value = NULL;
-    *is_whole =
-        knows_nothing || is_foreign || ts_store_position_compare(after, mirror->forgotten) < 0;
-    add_former(mirror, changes);
+    *is_whole = is_initial || is_other_epoch || ts_store_position_compare(after, mirror->swept) < 0;
+    add_kept_from_earlier(mirror, changes);
     g_hash_table_iter_init(&iterator, mirror->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ts_store_entry_t *entry = present_entry(mirror, value);
+        ts_store_entry_t *entry = current_epoch_entry(mirror, value);
         if (entry == NULL)
             continue;
-        // Another epoch's absent entries may stand there: that one has gone must be told.
-        bool is_told = !entry->is_gone || (is_foreign && !knows_nothing);
-        if (*is_whole ? is_told : ts_store_position_compare(entry->changed, after) > 0)
+        // A peer in another epoch may still have entries that are deleted here: send tombstones.
+        bool is_included = !entry->is_gone || (is_other_epoch && !is_initial);
+        if (*is_whole ? is_included : ts_store_position_compare(entry->changed, after) > 0)
             g_ptr_array_add(changes, entry);
     }
     return changes;
@@ -581,13 +587,13 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, mirror->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const kept_t *kept = value;
-        bool is_past = kept->entry.is_gone && kept->restored == NULL &&
-                       now_us - kept->changed_us > GONE_KEPT_US;
-        if (!is_past)
+        const mirror_entry_t *item = value;
+        bool is_expired = item->entry.is_gone && item->deferred == NULL &&
+                          now_us - item->updated_us > TOMBSTONE_RETENTION_US;
+        if (!is_expired)
             continue;
-        if (ts_store_position_compare(kept->entry.changed, mirror->forgotten) > 0)
-            mirror->forgotten = kept->entry.changed;
+        if (ts_store_position_compare(item->entry.changed, mirror->swept) > 0)
+            mirror->swept = item->entry.changed;
         g_hash_table_iter_remove(&iterator);
     }
 }
--- a/src/control/store_pace.c
+++ b/src/control/store_pace.c
@@ -1,24 +1,24 @@
-/** Pacing of the calls that read changes. */
+/** Token bucket for the calls that read changes. */
 #include <glib.h>
 #include <stdbool.h>
 
 #include "tealspar/call_pace.h"
 
-/* Changes that go on coming are read by one call in so long. */
-#define BATCH_US (700 * TS_US_PER_MS)
-/* Calls that may follow at once after a rest: an entry that changes, and a configuration after it.
- */
-#define AT_ONCE_MOST 2.0
-#define GAIN_US (3 * TS_US_PER_S)
+/* Interval between calls while changes keep coming; each call reads a batch. */
+#define BATCH_INTERVAL_US (700 * TS_US_PER_MS)
+/* Calls without delay after an idle period: a changed entry, and the configuration after it. */
+#define BURST_CALLS 2.0
+/* Time to refill one token. */
+#define REFILL_US (3 * TS_US_PER_S)
 
 ts_time_us_t ts_call_pace_take(ts_call_pace_t *pace, ts_time_us_t now_us)
 {
-    double gained = (double)(now_us - pace->counted_us) / (double)GAIN_US;
+    double refilled = (double)(now_us - pace->counted_us) / (double)REFILL_US;
     bool is_first = pace->counted_us == 0;
-    pace->calls = is_first ? AT_ONCE_MOST : MIN(pace->calls + gained, AT_ONCE_MOST);
+    pace->calls = is_first ? BURST_CALLS : MIN(pace->calls + refilled, BURST_CALLS);
     pace->counted_us = now_us;
     if (pace->calls < 1)
-        return BATCH_US;
+        return BATCH_INTERVAL_US;
     pace->calls -= 1;
     return 0;
 }
--- a/src/control/store_page.c
+++ b/src/control/store_page.c
@@ -1,4 +1,4 @@
-/** Pages of the configuration service's entries. */
+/** Pages of entries from the configuration service. */
 #include "tealspar/dialect.h"
 
 void ts_store_entry_free(void *data)
