--- a/src/control/store_watch.c
+++ b/src/control/store_watch.c
@@ -1,4 +1,4 @@
-/** Follows the configuration service, unless the zone's watcher does it for this node. */
+/** Follows the configuration service, unless the zone's watcher does so for this node. */
 #include "tealspar/store_watch.h"
 
 #include <string.h>
@@ -14,97 +14,101 @@
 #define STATUS_GONE 410
 #define LIST_TIMEOUT_MS 2500
 /*
- * While nothing is known, a silent service is asked again after less: it may have swallowed the
- * call and be back already. Each time that was too short for a slow service, it gets longer.
+ * Until the first list is applied, list calls have a shorter timeout: a service that was down may
+ * have lost the call and be available again. The timeout grows with each call, so that a slow
+ * service gets enough time.
  */
-#define FIRST_TIMEOUT_MS 300
-#define FIRST_TIMEOUT_GROWTH 1.5
+#define INITIAL_LIST_TIMEOUT_MS 300
+#define INITIAL_LIST_TIMEOUT_GROWTH 1.5
 /*
- * A wait for changes; silence past it and its margin means that the service is not heard. A call
- * that a silent service has swallowed is noticed within their sum, which must lie below the time
- * from the service's return until its bounds hold again (five seconds on the platform).
+ * Duration of a watch call (a long poll for changes). A call without a response after this and the
+ * margin has failed. Their sum bounds the time to notice a lost call, so it must be less than the
+ * time after the service's recovery until changes must take effect in time again (five seconds on
+ * the platform).
  */
-#define WATCH_MS 2500
+#define WATCH_TIMEOUT_MS 2500
 #define WATCH_MARGIN_MS 1000
 /*
- * A watcher that others rely on probes the service once a second anyway, at a tenth of the price:
- * its wait may be longer, as the probes tell when it was swallowed. One that failed makes the wait
- * doubtful; so many that see a newer revision while it waits show that it is deaf.
+ * A watcher with dependents probes the service once a second anyway, at a tenth of the cost of a
+ * watch call. Its watch calls may last longer, because the probes detect a lost one: a watch call
+ * is restarted when a probe succeeds after one has failed, or when STALE_WATCH_PROBES probes in a
+ * row have seen a newer revision.
  */
-#define WATCH_PROBED_MS 8000
-#define DEAF_PROBES 2
-/* A gateway that has just started listens to its peers for so long before it waits for changes. */
-#define SETTLE_US (1000 * TS_US_PER_MS)
-/* Between two looks of a node that leaves the service to the zone's watcher. */
-#define REST_MS 200
-/* Between two signs of life of the service while others rely on this node. */
-#define PROBE_MS 1000
+#define WATCH_PROBED_TIMEOUT_MS 8000
+#define STALE_WATCH_PROBES 2
+/* A gateway that has just started listens to its peers this long before it watches for changes. */
+#define PEER_WAIT_US (1000 * TS_US_PER_MS)
+/* How often a node that leaves the service to the zone's watcher checks whether it still may. */
+#define STANDBY_POLL_MS 200
+/* Interval between probes of the service while other nodes depend on this one. */
+#define PROBE_INTERVAL_MS 1000
 #define PROBE_TIMEOUT_MS 900
-/* A node that a peer may tell of a service that came back gives it so long, on the mean. */
-#define RELIST_OTHERS_MS 300
-#define BACKOFF_FIRST_MS 150
+/* Mean pause before listing again if a peer may send the entries meanwhile, as after a restore. */
+#define RELIST_PEER_PAUSE_MS 300
+#define BACKOFF_MIN_MS 150
 #define BACKOFF_MAX_MS 1000
 #define BACKOFF_GROWTH 2
 
 struct ts_store_watch {
     ts_gateway_t *gateway;
     ts_store_client_t *client;
-    uv_timer_t pause;
+    uv_timer_t call_timer;
     bool is_listing;
-    bool is_lost;                      /**< the last call failed */
-    ts_store_position_t asked;         /**< the wait under way asks for changes after it */
-    ts_store_position_t list_known;    /**< what was known when the list was begun */
-    ts_store_position_t list_position; /**< of its first page */
-    GPtrArray *list;                   /**< of ts_store_entry_t: its pages so far */
+    bool is_failing;                    /**< the last call failed */
+    ts_store_position_t watch_position; /**< the pending watch call requests changes after this */
+    ts_store_position_t list_start_position; /**< position of the mirror when the list was begun */
+    ts_store_position_t list_position;       /**< position of the list's first page */
+    GPtrArray *list;                         /**< of ts_store_entry_t: pages received so far */
     ts_call_pace_t pace;
     uint32_t backoff_ms;
-    uint32_t relist_ms;        /**< pause before the next list; grows until a wait is answered */
-    uint32_t first_timeout_ms; /**< of a list while nothing is known */
-    ts_time_us_t called_us;    /**< when the call under way began */
-    ts_store_client_t *prober;
+    uint32_t relist_pause_ms;    /**< pause before the next list; reset by an answered watch call */
+    uint32_t initial_timeout_ms; /**< timeout of a list call until the first list is applied */
+    ts_time_us_t call_started_us; /**< start of the pending call */
+    ts_store_client_t *probe_client;
     uv_timer_t probe_timer;
-    ts_time_us_t probed_us; /**< when the probe under way began */
+    ts_time_us_t probe_started_us; /**< start of the pending probe */
     bool is_probing;
-    bool is_long_wait;    /**< the call under way is one that probes watch over */
-    bool is_doubtful;     /**< a probe failed since it began */
-    unsigned behind_seen; /**< probes in a row that saw a newer revision meanwhile */
+    bool is_probed_watch;  /**< the pending call is a long watch call, monitored by probes */
+    bool has_probe_failed; /**< a probe failed since the watch call began */
+    unsigned newer_probes; /**< probes in a row that saw a newer revision than the mirror's */
 };
 
 static void call_next(uv_timer_t *timer);
 
-static void pause_for(ts_store_watch_t *watch, uint64_t pause_ms)
+static void schedule_call(ts_store_watch_t *watch, uint64_t pause_ms)
 {
-    uv_timer_start(&watch->pause, call_next, pause_ms, 0);
+    uv_timer_start(&watch->call_timer, call_next, pause_ms, 0);
 }
 
-static void begin_list(ts_store_watch_t *watch)
+static void reset_list(ts_store_watch_t *watch)
 {
     watch->is_listing = true;
     g_ptr_array_set_size(watch->list, 0);
 }
 
-/* A pause of that length on the mean, drawn so that nodes don't ask at once. */
-static uint32_t spread(const ts_store_watch_t *watch, uint32_t pause_ms)
+/* Returns a random pause with that mean, so that nodes do not call at the same time. */
+static uint32_t jitter(const ts_store_watch_t *watch, uint32_t pause_ms)
 {
     return pause_ms / 2 + ts_gateway_random(watch->gateway) % MAX(pause_ms, 1);
 }
 
 /*
- * All is to be read anew. At once the first time; if no wait is answered in between, ever later.
- * Returns how long to wait before the next call.
+ * Starts a new list; returns the pause before its first call in milliseconds. The pause is zero the
+ * first time (unless a peer may send the entries instead) and grows until a watch call is answered.
  */
 static uint64_t restart_list(ts_store_watch_t *watch)
 {
     const ts_peers_t *peers = watch->gateway->peers;
-    uint32_t pause_ms = watch->relist_ms;
+    uint32_t pause_ms = watch->relist_pause_ms;
     if (pause_ms == 0 && peers != NULL && ts_peers_may_be_told(peers))
-        pause_ms = RELIST_OTHERS_MS;
-    watch->relist_ms = CLAMP(watch->relist_ms * BACKOFF_GROWTH, BACKOFF_FIRST_MS, BACKOFF_MAX_MS);
-    begin_list(watch);
-    return pause_ms == 0 ? 0 : spread(watch, pause_ms);
+        pause_ms = RELIST_PEER_PAUSE_MS;
+    watch->relist_pause_ms =
+        CLAMP(watch->relist_pause_ms * BACKOFF_GROWTH, BACKOFF_MIN_MS, BACKOFF_MAX_MS);
+    reset_list(watch);
+    return pause_ms == 0 ? 0 : jitter(watch, pause_ms);
 }
 
-/* Tells the other nodes of the zone that there is something new. */
+/* Announces new entries to the other nodes of the zone. */
 static void announce(const ts_store_watch_t *watch)
 {
     if (watch->gateway->peers != NULL) {
@@ -118,8 +122,8 @@
     ts_count(TS_COUNTER_STORE_LISTS, 1);
     ts_log(TS_EVENT_PLATFORM_LISTED, "epoch=%lu revision=%lu known=%lu entries=%u passed_over=%u",
            (unsigned long)ts_store_epoch_told(watch->list_position.epoch),
-           (unsigned long)watch->list_position.revision, (unsigned long)watch->list_known.revision,
-           n, n - MIN(n, applied));
+           (unsigned long)watch->list_position.revision,
+           (unsigned long)watch->list_start_position.revision, n, n - MIN(n, applied));
 }
 
 static void set_list_epoch(ts_store_watch_t *watch, uint64_t epoch)
@@ -132,26 +136,26 @@
 }
 
 /*
- * Whether the list shows that the service went back without telling: each answer to a call holds
- * all that was known before the call.
+ * Whether the list shows a restore that the service did not report. Without one, a response is
+ * never older than the position that was known before the call.
  */
-static bool went_back(const ts_store_watch_t *watch)
+static bool has_regressed(const ts_store_watch_t *watch)
 {
-    return watch->list_position.epoch == watch->list_known.epoch &&
-           watch->list_position.revision < watch->list_known.revision;
+    return watch->list_position.epoch == watch->list_start_position.epoch &&
+           watch->list_position.revision < watch->list_start_position.revision;
 }
 
-/* The whole list was read; returns how long to wait before the next call. */
-static uint64_t end_list(ts_store_watch_t *watch)
+/* Applies the complete list; returns the pause before the next call in milliseconds. */
+static uint64_t finish_list(ts_store_watch_t *watch)
 {
     ts_store_mirror_t *mirror = watch->gateway->mirror;
-    if (went_back(watch))
-        set_list_epoch(watch, watch->list_known.epoch + 1);
+    if (has_regressed(watch))
+        set_list_epoch(watch, watch->list_start_position.epoch + 1);
     if (watch->list_position.epoch < ts_store_mirror_position(mirror).epoch)
-        return restart_list(watch); // a peer has told of a later epoch meanwhile
+        return restart_list(watch); // a peer has reported a later epoch meanwhile
     const ts_store_list_t list = {.entries = watch->list,
                                   .position = watch->list_position,
-                                  .as_of_us = watch->called_us,
+                                  .as_of_us = watch->call_started_us,
                                   .source = "service"};
     log_list(watch, ts_store_mirror_take_list(mirror, &list));
     g_ptr_array_set_size(watch->list, 0);
@@ -160,30 +164,30 @@
     return 0;
 }
 
-/* Whether a page is of another epoch than those before it, or of an earlier moment. */
-static bool breaks_list(const ts_store_watch_t *watch, const ts_store_page_t *page)
+/* Whether a page is of another epoch than the first page of the list, or older than it. */
+static bool is_inconsistent_page(const ts_store_watch_t *watch, const ts_store_page_t *page)
 {
     return watch->list->len > 0 && (page->position.epoch != watch->list_position.epoch ||
                                     page->position.revision < watch->list_position.revision);
 }
 
-/* Takes a page of the list; returns how long to wait before the next call. */
-static uint64_t take_list_page(ts_store_watch_t *watch, ts_store_page_t *page)
+/* Adds a page to the list; returns the pause before the next call in milliseconds. */
+static uint64_t add_list_page(ts_store_watch_t *watch, ts_store_page_t *page)
 {
-    if (breaks_list(watch, page))
+    if (is_inconsistent_page(watch, page))
         return restart_list(watch);
     if (watch->list->len == 0)
         watch->list_position = page->position;
     bool has_entries = page->entries->len > 0;
-    g_ptr_array_set_free_func(page->entries, NULL); // they belong to the list now
+    g_ptr_array_set_free_func(page->entries, NULL); // the list owns the entries now
     g_ptr_array_extend(watch->list, page->entries, NULL, NULL);
-    return page->has_more && has_entries ? 0 : end_list(watch);
+    return page->has_more && has_entries ? 0 : finish_list(watch);
 }
 
-static uint64_t take_changes(ts_store_watch_t *watch, const ts_store_page_t *page)
+static uint64_t apply_changes(ts_store_watch_t *watch, const ts_store_page_t *page)
 {
     ts_store_mirror_t *mirror = watch->gateway->mirror;
-    watch->relist_ms = 0;
+    watch->relist_pause_ms = 0;
     (void)ts_store_mirror_apply(mirror, page->entries, page->position);
     ts_store_mirror_reach(mirror, page->position, ts_clock_now_us());
     if (page->entries->len == 0) {
@@ -193,175 +197,178 @@
     return ts_call_pace_take(&watch->pace, ts_clock_now_us()) / TS_US_PER_MS;
 }
 
-/* Takes the answer to a wait; returns how long to wait before the next call. */
-static uint64_t take_wait(ts_store_watch_t *watch, const ts_store_page_t *page)
+/* Handles the response to a watch call; returns the pause before the next call in milliseconds. */
+static uint64_t handle_watch_response(ts_store_watch_t *watch, const ts_store_page_t *page)
 {
     uint64_t epoch = ts_store_mirror_position(watch->gateway->mirror).epoch;
     if (page->position.epoch > epoch)
         return restart_list(watch);
-    if (watch->asked.epoch != epoch)
-        return 0; // a peer has told of that epoch, the wait asked in the one before
-    if (page->position.revision < watch->asked.revision)
+    if (watch->watch_position.epoch != epoch)
+        return 0; // a peer has reported a new epoch since the call was made
+    if (page->position.revision < watch->watch_position.revision)
         return restart_list(watch);
-    return take_changes(watch, page);
+    return apply_changes(watch, page);
 }
 
-static void note_heard(ts_store_watch_t *watch)
+static void record_success(ts_store_watch_t *watch)
 {
-    watch->backoff_ms = BACKOFF_FIRST_MS;
-    if (watch->is_lost) {
-        watch->is_lost = false;
+    watch->backoff_ms = BACKOFF_MIN_MS;
+    if (watch->is_failing) {
+        watch->is_failing = false;
         ts_store_position_t known = ts_store_mirror_position(watch->gateway->mirror);
         ts_log(TS_EVENT_PLATFORM_BACK, "epoch=%lu revision=%lu",
                (unsigned long)ts_store_epoch_told(known.epoch), (unsigned long)known.revision);
     }
 }
 
-static void note_lost(ts_store_watch_t *watch, const char *reason)
+static void record_failure(ts_store_watch_t *watch, const char *reason)
 {
-    if (!watch->is_lost) {
-        watch->is_lost = true;
+    if (!watch->is_failing) {
+        watch->is_failing = true;
         ts_store_position_t known = ts_store_mirror_position(watch->gateway->mirror);
         ts_log(TS_EVENT_PLATFORM_LOST, "reason=%s epoch=%lu revision=%lu", reason,
                (unsigned long)ts_store_epoch_told(known.epoch), (unsigned long)known.revision);
     }
 }
 
-static void take_failure(ts_store_watch_t *watch, const char *reason)
+static void handle_failure(ts_store_watch_t *watch, const char *reason)
 {
     ts_count(TS_COUNTER_PLATFORM_FAILURES, 1);
-    note_lost(watch, reason);
+    record_failure(watch, reason);
     if (watch->gateway->peers != NULL) {
         ts_peers_ask_around(watch->gateway->peers);
     }
-    pause_for(watch, spread(watch, watch->backoff_ms));
-    /* A node that knows nothing yet can serve nobody: it keeps asking. */
-    bool is_primed = ts_store_mirror_is_primed(watch->gateway->mirror);
-    uint32_t most_ms = is_primed ? BACKOFF_MAX_MS : BACKOFF_FIRST_MS;
-    watch->backoff_ms = MIN(watch->backoff_ms * BACKOFF_GROWTH, most_ms);
+    schedule_call(watch, jitter(watch, watch->backoff_ms));
+    /* A node without any list cannot serve requests yet, so it retries without backing off. */
+    bool is_loaded = ts_store_mirror_is_primed(watch->gateway->mirror);
+    uint32_t max_ms = is_loaded ? BACKOFF_MAX_MS : BACKOFF_MIN_MS;
+    watch->backoff_ms = MIN(watch->backoff_ms * BACKOFF_GROWTH, max_ms);
 }
 
 static uint32_t list_timeout_ms(ts_store_watch_t *watch)
 {
     if (ts_store_mirror_is_primed(watch->gateway->mirror))
         return LIST_TIMEOUT_MS;
-    uint32_t timeout_ms = watch->first_timeout_ms;
-    watch->first_timeout_ms = MIN((uint32_t)(timeout_ms * FIRST_TIMEOUT_GROWTH), LIST_TIMEOUT_MS);
+    uint32_t timeout_ms = watch->initial_timeout_ms;
+    watch->initial_timeout_ms =
+        MIN((uint32_t)(timeout_ms * INITIAL_LIST_TIMEOUT_GROWTH), LIST_TIMEOUT_MS);
     return timeout_ms;
 }
 
-/* The epoch of an answer by the number it tells. */
-static uint64_t epoch_of(const ts_store_watch_t *watch, const ts_store_answer_t *answer)
+/* Converts the epoch number reported in a response to an internal epoch. */
+static uint64_t response_epoch(const ts_store_watch_t *watch, const ts_store_answer_t *response)
 {
     uint64_t epoch = ts_store_mirror_position(watch->gateway->mirror).epoch;
-    bool is_present = answer->epoch == ts_store_epoch_told(epoch);
-    return is_present ? epoch : ts_store_epoch(answer->epoch);
+    bool is_same_epoch = response->epoch == ts_store_epoch_told(epoch);
+    return is_same_epoch ? epoch : ts_store_epoch(response->epoch);
 }
 
-/* Why an answer can't be used; NULL: it can. */
-static const char *find_fault(const ts_store_watch_t *watch, const ts_store_answer_t *answer)
+/* Returns why a response must be rejected, or NULL. */
+static const char *find_fault(const ts_store_watch_t *watch, const ts_store_answer_t *response)
 {
     uint64_t epoch = ts_store_mirror_position(watch->gateway->mirror).epoch;
-    if (answer->status != STATUS_OK && answer->status != STATUS_GONE)
+    if (response->status != STATUS_OK && response->status != STATUS_GONE)
         return "status";
-    if (answer->epoch >= ts_store_epoch_told(epoch))
+    if (response->epoch >= ts_store_epoch_told(epoch))
         return NULL;
-    return answer->epoch == 0 ? "no_epoch" : "earlier_epoch";
+    return response->epoch == 0 ? "no_epoch" : "earlier_epoch";
 }
 
-static void refuse_answer(ts_store_watch_t *watch, const ts_store_answer_t *answer,
-                          const char *fault)
+static void reject_response(ts_store_watch_t *watch, const ts_store_answer_t *response,
+                            const char *fault)
 {
     char reason[32];
-    g_snprintf(reason, sizeof(reason), "%s_%u", fault, answer->status);
-    if (answer->status == STATUS_OK || answer->status == STATUS_GONE)
-        ts_store_client_reconnect(watch->client); // it may lead to what the service was before
-    take_failure(watch, reason);
+    g_snprintf(reason, sizeof(reason), "%s_%u", fault, response->status);
+    // A connection that still reaches the service as it was before its restore must not be reused.
+    if (response->status == STATUS_OK || response->status == STATUS_GONE)
+        ts_store_client_reconnect(watch->client);
+    handle_failure(watch, reason);
 }
 
-/* Reads the answer to a list or a wait; NULL after a failure. */
-static ts_store_page_t *read_page(ts_store_watch_t *watch, const ts_store_answer_t *answer)
+/* Parses the response to a list or watch call; on failure schedules a retry and returns NULL. */
+static ts_store_page_t *read_page(ts_store_watch_t *watch, const ts_store_answer_t *response)
 {
     ts_store_page_t *page = ts_store_page_create();
-    ts_error_t error = watch->gateway->dialect->read_page(answer->body, answer->length, page);
+    ts_error_t error = watch->gateway->dialect->read_page(response->body, response->length, page);
     if (error != TS_OK) {
-        take_failure(watch, ts_error_name(error));
+        handle_failure(watch, ts_error_name(error));
         ts_store_page_free(page);
         return NULL;
     }
-    ts_store_page_set_epoch(page, epoch_of(watch, answer));
+    ts_store_page_set_epoch(page, response_epoch(watch, response));
     return page;
 }
 
-static void call_done(void *context, ts_error_t error, const ts_store_answer_t *answer)
+static void on_call_done(void *context, ts_error_t error, const ts_store_answer_t *response)
 {
     ts_store_watch_t *watch = context;
-    watch->is_long_wait = false;
+    watch->is_probed_watch = false;
     if (error != TS_OK) {
-        take_failure(watch, ts_error_name(error));
+        handle_failure(watch, ts_error_name(error));
         return;
     }
-    const char *fault = find_fault(watch, answer);
+    const char *fault = find_fault(watch, response);
     if (fault != NULL) {
-        refuse_answer(watch, answer, fault);
+        reject_response(watch, response, fault);
         return;
     }
-    if (answer->status == STATUS_GONE) {
+    if (response->status == STATUS_GONE) {
         ts_count(TS_COUNTER_STORE_HISTORY_GONE, 1);
-        note_heard(watch);
-        pause_for(watch, restart_list(watch));
+        record_success(watch);
+        schedule_call(watch, restart_list(watch));
         return;
     }
-    ts_store_page_t *page = read_page(watch, answer);
+    ts_store_page_t *page = read_page(watch, response);
     if (page == NULL)
         return;
-    note_heard(watch);
-    pause_for(watch, watch->is_listing ? take_list_page(watch, page) : take_wait(watch, page));
+    record_success(watch);
+    schedule_call(watch, watch->is_listing ? add_list_page(watch, page)
+                                           : handle_watch_response(watch, page));
     ts_store_page_free(page);
 }
 
-/* Whether this node leaves the service to others at present. */
-static bool may_rest(const ts_store_watch_t *watch)
+/* Whether a peer currently follows the service for this node. */
+static bool is_standby(const ts_store_watch_t *watch)
 {
     const ts_gateway_t *gateway = watch->gateway;
     return gateway->peers != NULL && ts_store_mirror_is_primed(gateway->mirror) &&
            !ts_peers_should_watch(gateway->peers, ts_clock_now_us());
 }
 
-static bool is_relied_on(const ts_store_watch_t *watch)
+static bool has_dependents(const ts_store_watch_t *watch)
 {
     const ts_gateway_t *gateway = watch->gateway;
     return gateway->peers != NULL && ts_peers_is_relied_on(gateway->peers);
 }
 
-/* Whether a peer may still tell that it follows the service for this node. */
-static bool may_settle(const ts_store_watch_t *watch)
+/* Whether this node has just started and a peer may still announce that it follows the service. */
+static bool is_settling(const ts_store_watch_t *watch)
 {
     const ts_gateway_t *gateway = watch->gateway;
     return gateway->peers != NULL && ts_store_mirror_is_primed(gateway->mirror) &&
-           ts_clock_now_us() - gateway->opened_us < SETTLE_US;
+           ts_clock_now_us() - gateway->opened_us < PEER_WAIT_US;
 }
 
-static void begin_wait(ts_store_watch_t *watch)
+static void start_watch(ts_store_watch_t *watch)
 {
-    uint32_t wait_ms = is_relied_on(watch) ? WATCH_PROBED_MS : WATCH_MS;
-    watch->asked = ts_store_mirror_position(watch->gateway->mirror);
-    char *target = watch->gateway->dialect->watch_target(watch->asked.revision, wait_ms);
-    watch->is_long_wait = wait_ms > WATCH_MS;
-    watch->is_doubtful = false;
-    watch->behind_seen = 0;
+    uint32_t wait_ms = has_dependents(watch) ? WATCH_PROBED_TIMEOUT_MS : WATCH_TIMEOUT_MS;
+    watch->watch_position = ts_store_mirror_position(watch->gateway->mirror);
+    char *target = watch->gateway->dialect->watch_target(watch->watch_position.revision, wait_ms);
+    watch->is_probed_watch = wait_ms > WATCH_TIMEOUT_MS;
+    watch->has_probe_failed = false;
+    watch->newer_probes = 0;
     ts_store_client_get(watch->client, target, wait_ms + WATCH_MARGIN_MS);
     g_free(target);
 }
 
-/* Asks for the first page of a list, or for the one after those that are there. */
-static void ask_list(ts_store_watch_t *watch)
+/* Requests the next page of the list. */
+static void request_list(ts_store_watch_t *watch)
 {
     const ts_store_entry_t *last = NULL;
     if (watch->list->len > 0)
         last = g_ptr_array_index(watch->list, watch->list->len - 1);
     else
-        watch->list_known = ts_store_mirror_position(watch->gateway->mirror);
+        watch->list_start_position = ts_store_mirror_position(watch->gateway->mirror);
     char *target = watch->gateway->dialect->list_target(last == NULL ? NULL : last->key);
     ts_store_client_get(watch->client, target, list_timeout_ms(watch));
     g_free(target);
@@ -370,105 +377,105 @@
 static void call_next(uv_timer_t *timer)
 {
     ts_store_watch_t *watch = timer->data;
-    if (may_rest(watch)) {
-        watch->is_listing = false; /* a peer has given what the list would */
+    if (is_standby(watch)) {
+        watch->is_listing = false; /* the entries come from a peer instead */
         g_ptr_array_set_size(watch->list, 0);
-        pause_for(watch, REST_MS);
+        schedule_call(watch, STANDBY_POLL_MS);
         return;
     }
-    if (!watch->is_listing && may_settle(watch)) {
-        pause_for(watch, REST_MS);
+    if (!watch->is_listing && is_settling(watch)) {
+        schedule_call(watch, STANDBY_POLL_MS);
         return;
     }
-    watch->called_us = ts_clock_now_us();
+    watch->call_started_us = ts_clock_now_us();
     if (!watch->is_listing) {
-        begin_wait(watch);
+        start_watch(watch);
         return;
     }
-    ask_list(watch);
+    request_list(watch);
 }
 
 /* -- Probing ----------------------------------------------------------------------------------- */
 
-/* The service is heard, but the wait under way may not be: another one takes its place. */
-static void renew_wait(ts_store_watch_t *watch)
+/* Replaces the pending watch call, which the service may have lost although it is reachable. */
+static void restart_watch(ts_store_watch_t *watch)
 {
     ts_store_client_abandon(watch->client);
-    watch->is_long_wait = false;
-    pause_for(watch, 0);
+    watch->is_probed_watch = false;
+    schedule_call(watch, 0);
 }
 
-/* The service is heard in an epoch that the wait under way does not ask in. */
-static void leave_wait(ts_store_watch_t *watch)
+/* Replaces the pending watch call by a list, because the service has reported a later epoch. */
+static void switch_to_list(ts_store_watch_t *watch)
 {
     if (watch->is_listing)
         return;
     ts_store_client_abandon(watch->client);
-    watch->is_long_wait = false;
-    pause_for(watch, restart_list(watch));
+    watch->is_probed_watch = false;
+    schedule_call(watch, restart_list(watch));
 }
 
-/* What a probe that was answered says of the wait under way. */
-static void judge_wait(ts_store_watch_t *watch, bool is_behind)
+/* Restarts the pending watch call if a successful probe shows that it may have been lost. */
+static void check_watch(ts_store_watch_t *watch, bool is_newer)
 {
-    bool is_concerned = watch->is_long_wait && watch->called_us < watch->probed_us;
-    if (!is_concerned)
+    bool is_affected = watch->is_probed_watch && watch->call_started_us < watch->probe_started_us;
+    if (!is_affected)
         return;
-    watch->behind_seen = is_behind ? watch->behind_seen + 1 : 0;
-    if (watch->is_doubtful || watch->behind_seen >= DEAF_PROBES)
-        renew_wait(watch);
+    watch->newer_probes = is_newer ? watch->newer_probes + 1 : 0;
+    if (watch->has_probe_failed || watch->newer_probes >= STALE_WATCH_PROBES)
+        restart_watch(watch);
 }
 
-static void probe_done(void *context, ts_error_t error, const ts_store_answer_t *answer)
+static void on_probe_done(void *context, ts_error_t error, const ts_store_answer_t *response)
 {
     ts_store_watch_t *watch = context;
     ts_store_mirror_t *mirror = watch->gateway->mirror;
     watch->is_probing = false;
-    if (error != TS_OK || answer->status != STATUS_OK) {
-        watch->is_doubtful = true;
+    if (error != TS_OK || response->status != STATUS_OK) {
+        watch->has_probe_failed = true;
         return;
     }
     uint64_t epoch = ts_store_epoch_told(ts_store_mirror_position(mirror).epoch);
-    if (answer->epoch != epoch) {
-        if (answer->epoch > epoch)
-            leave_wait(watch);
+    if (response->epoch != epoch) {
+        if (response->epoch > epoch)
+            switch_to_list(watch);
         return;
     }
     ts_store_page_t *page = ts_store_page_create();
     const ts_dialect_t *dialect = watch->gateway->dialect;
-    bool is_read = dialect->read_page(answer->body, answer->length, page) == TS_OK;
+    bool is_read = dialect->read_page(response->body, response->length, page) == TS_OK;
     uint64_t known = ts_store_mirror_position(mirror).revision;
     bool is_current = is_read && page->position.revision <= known;
-    if (is_current && !watch->is_lost) {
-        ts_store_mirror_confirm(mirror, watch->probed_us);
+    if (is_current && !watch->is_failing) {
+        ts_store_mirror_confirm(mirror, watch->probe_started_us);
     }
     ts_store_page_free(page);
     if (is_read)
-        judge_wait(watch, !is_current);
+        check_watch(watch, !is_current);
 }
 
-/* A peer has told of another epoch while the wait under way asks in the one before. */
-static bool is_wait_outdated(const ts_store_watch_t *watch)
+/* Whether a peer has reported another epoch than the one of the pending watch call. */
+static bool is_watch_outdated(const ts_store_watch_t *watch)
 {
-    return watch->is_long_wait &&
-           watch->asked.epoch != ts_store_mirror_position(watch->gateway->mirror).epoch;
+    return watch->is_probed_watch &&
+           watch->watch_position.epoch != ts_store_mirror_position(watch->gateway->mirror).epoch;
 }
 
-/* The zone's watcher makes sure, between changes, that the service is still heard. */
-static void probe(uv_timer_t *timer)
+/* Periodic check by the zone's watcher that the service is reachable while nothing changes. */
+static void send_probe(uv_timer_t *timer)
 {
     ts_store_watch_t *watch = timer->data;
     const ts_gateway_t *gateway = watch->gateway;
-    if (is_wait_outdated(watch))
-        renew_wait(watch);
-    bool is_needed = watch->is_long_wait || is_relied_on(watch);
+    if (is_watch_outdated(watch))
+        restart_watch(watch);
+    bool is_needed = watch->is_probed_watch || has_dependents(watch);
     if (watch->is_probing || !is_needed || !ts_store_mirror_is_primed(gateway->mirror)) {
         return;
     }
     watch->is_probing = true;
-    watch->probed_us = ts_clock_now_us();
+    watch->probe_started_us = ts_clock_now_us();
     char *target = gateway->dialect->probe_target();
-    ts_store_client_get(watch->prober, target, PROBE_TIMEOUT_MS);
+    ts_store_client_get(watch->probe_client, target, PROBE_TIMEOUT_MS);
     g_free(target);
 }
 
@@ -478,33 +485,33 @@
     const char *address = gateway->settings->store;
     watch->gateway = gateway;
     watch->client =
-        ts_store_client_create(gateway->loop, gateway->dialect, address, call_done, watch);
-    watch->prober =
-        ts_store_client_create(gateway->loop, gateway->dialect, address, probe_done, watch);
+        ts_store_client_create(gateway->loop, gateway->dialect, address, on_call_done, watch);
+    watch->probe_client =
+        ts_store_client_create(gateway->loop, gateway->dialect, address, on_probe_done, watch);
     watch->list = g_ptr_array_new_with_free_func(ts_store_entry_free);
-    watch->backoff_ms = BACKOFF_FIRST_MS;
-    watch->first_timeout_ms = FIRST_TIMEOUT_MS;
-    uv_timer_init(gateway->loop, &watch->pause);
+    watch->backoff_ms = BACKOFF_MIN_MS;
+    watch->initial_timeout_ms = INITIAL_LIST_TIMEOUT_MS;
+    uv_timer_init(gateway->loop, &watch->call_timer);
     uv_timer_init(gateway->loop, &watch->probe_timer);
-    watch->pause.data = watch;
+    watch->call_timer.data = watch;
     watch->probe_timer.data = watch;
-    begin_list(watch);
+    reset_list(watch);
     return watch;
 }
 
 void ts_store_watch_start(ts_store_watch_t *watch)
 {
-    pause_for(watch, 0);
-    uv_timer_start(&watch->probe_timer, probe, PROBE_MS, PROBE_MS);
+    schedule_call(watch, 0);
+    uv_timer_start(&watch->probe_timer, send_probe, PROBE_INTERVAL_MS, PROBE_INTERVAL_MS);
 }
 
 bool ts_store_watch_is_lost(const ts_store_watch_t *watch)
 {
-    return watch->is_lost;
+    return watch->is_failing;
 }
 
 void ts_store_watch_reload(ts_store_watch_t *watch)
 {
     ts_store_client_set_address(watch->client, watch->gateway->settings->store);
-    ts_store_client_set_address(watch->prober, watch->gateway->settings->store);
+    ts_store_client_set_address(watch->probe_client, watch->gateway->settings->store);
 }
--- a/src/control/view.c
+++ b/src/control/view.c
@@ -1,4 +1,4 @@
-/** Views of the members and the owner of a back end by rendezvous hashing. */
+/** Membership views, and rendezvous hashing of back ends to owners. */
 #include "tealspar/view.h"
 
 #include <glib.h>
@@ -53,19 +53,20 @@
     g_free(view);
 }
 
-static bool may_own(const ts_view_member_t *member)
+static bool can_own(const ts_view_member_t *member)
 {
     return member->state == TS_MEMBER_LIVE || member->state == TS_MEMBER_SUSPECT;
 }
 
-/* Highest weight among the members that may own; `zone` NULL means any zone. */
-static const ts_view_member_t *find_highest(const ts_view_t *view, uint64_t key, const char *zone)
+/* The eligible member with the highest rendezvous weight; `zone` NULL means any zone. */
+static const ts_view_member_t *find_highest_weight(const ts_view_t *view, uint64_t key,
+                                                   const char *zone)
 {
     const ts_view_member_t *best = NULL;
     uint64_t best_weight = 0;
     for (size_t i = 0; i < view->count; i++) {
         const ts_view_member_t *member = &view->members[i];
-        if (!may_own(member) || (zone != NULL && strcmp(member->zone, zone) != 0)) {
+        if (!can_own(member) || (zone != NULL && strcmp(member->zone, zone) != 0)) {
             continue;
         }
         uint64_t weight = ts_hash_mix(member->id, key);
@@ -79,6 +80,6 @@
 
 const ts_view_member_t *ts_view_owner(const ts_view_t *view, const ts_backend_t *backend)
 {
-    const ts_view_member_t *owner = find_highest(view, backend->id, backend->zone);
-    return owner != NULL ? owner : find_highest(view, backend->id, NULL);
+    const ts_view_member_t *owner = find_highest_weight(view, backend->id, backend->zone);
+    return owner != NULL ? owner : find_highest_weight(view, backend->id, NULL);
 }
--- a/tests/control/test_call_pace.c
+++ b/tests/control/test_call_pace.c
@@ -1,12 +1,12 @@
-/** Pacing of calls that read changes. */
+/** Token bucket for the calls that read changes. */
 #include "../test_support.h"
 
 #include "tealspar/call_pace.h"
 
 #define MS TS_US_PER_MS
 
-/* A change after a rest, and what follows it, is read at once. */
-static void test_first_changes_are_followed_at_once(void **state)
+/* The first two changes after an idle period are read without delay. */
+static void test_first_changes_are_read_without_delay(void **state)
 {
     ts_call_pace_t pace = {0};
     ts_time_us_t now_us = 100 * TS_US_PER_S;
@@ -16,13 +16,13 @@
     assert_int_equal(ts_call_pace_take(&pace, now_us + 8 * TS_US_PER_S), 0);
 }
 
-/* Changes that never stop are read by a bounded number of calls. */
+/* Continuous changes are read in batches, by a bounded number of calls. */
 static void test_steady_changes_are_batched(void **state)
 {
     ts_call_pace_t pace = {0};
-    ts_time_us_t begun_us = 100 * TS_US_PER_S;
+    ts_time_us_t start_us = 100 * TS_US_PER_S;
     unsigned calls = 0;
-    for (ts_time_us_t now_us = begun_us; now_us < begun_us + 60 * TS_US_PER_S; calls++)
+    for (ts_time_us_t now_us = start_us; now_us < start_us + 60 * TS_US_PER_S; calls++)
         now_us +=
             ts_call_pace_take(&pace, now_us) + 10 * MS; /* the next change comes 10 ms later */
     assert_in_range(calls, 60, 120);
@@ -31,7 +31,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_first_changes_are_followed_at_once),
+        cmocka_unit_test(test_first_changes_are_read_without_delay),
         cmocka_unit_test(test_steady_changes_are_batched),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/control/test_membership.c
+++ b/tests/control/test_membership.c
@@ -1,4 +1,4 @@
-/** Membership of whole fleets on a virtual clock, under deaths, pauses, loss and cuts. */
+/** Membership of simulated fleets on a virtual clock: deaths, pauses, message loss, partitions. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -21,10 +21,10 @@
 }
 
 /*
- * All nodes start at once and know three of them: these do not have to answer everybody, and the
- * views agree before callers come.
+ * All nodes start at once with the same three seeds. The seeds must not be overloaded by join
+ * requests, and the views must converge within 14 s.
  */
-static void test_seeds_share_the_joining(void **state)
+static void test_seeds_share_join_load(void **state)
 {
     static const unsigned sizes[] = {30, 95, 300};
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
@@ -34,21 +34,23 @@
         lab_hollow_run(fleet, 14 * SECOND);
         assert_true(lab_hollow_is_converged(fleet));
         lab_hollow_report_t report = lab_hollow_report(fleet);
-        double middle = (double)report.bytes / sizes[i];
-        assert_true((double)report.busiest < 8 * middle); /* asked by a third of all each */
+        double mean_bytes = (double)report.bytes / sizes[i];
+        /* Each seed is asked by a third of all nodes. */
+        assert_true((double)report.busiest < 8 * mean_bytes);
         assert_int_equal(report.false_deaths, 0);
         lab_hollow_destroy(fleet);
     }
 }
 
 /*
- * A node starts while the only other one of its zone stands still. It asked that one alone, eleven
- * times in three seconds, heard nobody, and believed an old document of the platform (fuzz, seed
- * 31539: "from 3 to 6" each 300 ms, while five others had a newer one).
+ * A node starts while the only other node of its zone is stalled. It must not request to join from
+ * that one only: it sent eleven requests in three seconds, one every 300 ms, got no answer, and
+ * then accepted an outdated document of the platform although five other nodes had a newer one
+ * (found by fuzz seed 31539).
  */
-static void test_joining_does_not_hang_on_one_node(void **state)
+static void test_join_does_not_depend_on_one_node(void **state)
 {
-    lab_hollow_t *fleet = start_fleet(6, 0, 1); // two in each of three zones, by turns
+    lab_hollow_t *fleet = start_fleet(6, 0, 1); // two in each of three zones, assigned round-robin
     lab_hollow_kill(fleet, 0);
     lab_hollow_run(fleet, 10 * SECOND);
     lab_hollow_pause(fleet, 3, 10 * SECOND);
@@ -76,7 +78,7 @@
     }
 }
 
-static void test_pauses_and_loss_kill_nobody(void **state)
+static void test_pauses_and_loss_cause_no_false_deaths(void **state)
 {
     for (uint64_t seed = 1; seed <= 5; seed++) {
         lab_hollow_t *fleet = start_fleet(30, 5, seed);
@@ -100,12 +102,12 @@
     lab_hollow_destroy(fleet);
 }
 
-static void test_cut_zone_loses_others_and_heals(void **state)
+static void test_isolated_zone_rejoins(void **state)
 {
     lab_hollow_t *fleet = start_fleet(24, 0, 9);
     lab_hollow_cut(fleet, 1, true);
     lab_hollow_run(fleet, 60 * SECOND);
-    ts_view_t *inside = lab_hollow_view(fleet, 1); /* node 1 is in zone 1, with eight others */
+    ts_view_t *inside = lab_hollow_view(fleet, 1); /* zone 1 has eight nodes, node 1 included */
     assert_int_equal(inside->count, 8);
     assert_true(inside->has_quorum); /* of its own zone */
     ts_view_unref(inside);
@@ -145,8 +147,8 @@
     lab_hollow_destroy(fleet);
 }
 
-/* Owners: everywhere the same on the same view, spread evenly, and moved only where needed. */
-static void test_ownership_moves_little(void **state)
+/* Ownership is spread evenly and changes only for the back ends of a node that leaves. */
+static void test_ownership_moves_minimally(void **state)
 {
     ts_view_t *before = ts_view_create(10);
     ts_view_t *after = ts_view_create(10);
@@ -172,7 +174,7 @@
     ts_view_unref(after);
 }
 
-static void test_other_zone_owns_only_without_nodes(void **state)
+static void test_other_zone_owns_only_if_zone_is_empty(void **state)
 {
     ts_view_t *view = ts_view_create(2);
     ts_view_add(view, "a", "", "north", 1, TS_MEMBER_DEAD, false);
@@ -188,16 +190,16 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_seeds_share_the_joining),
-        cmocka_unit_test(test_joining_does_not_hang_on_one_node),
+        cmocka_unit_test(test_seeds_share_join_load),
+        cmocka_unit_test(test_join_does_not_depend_on_one_node),
         cmocka_unit_test(test_death_is_known_everywhere),
-        cmocka_unit_test(test_pauses_and_loss_kill_nobody),
+        cmocka_unit_test(test_pauses_and_loss_cause_no_false_deaths),
         cmocka_unit_test(test_long_pause_is_refuted_afterwards),
-        cmocka_unit_test(test_cut_zone_loses_others_and_heals),
+        cmocka_unit_test(test_isolated_zone_rejoins),
         cmocka_unit_test(test_minority_of_a_zone_has_no_quorum),
         cmocka_unit_test(test_configuration_reaches_all),
-        cmocka_unit_test(test_ownership_moves_little),
-        cmocka_unit_test(test_other_zone_owns_only_without_nodes),
+        cmocka_unit_test(test_ownership_moves_minimally),
+        cmocka_unit_test(test_other_zone_owns_only_if_zone_is_empty),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
