--- a/src/control/membership.c
+++ b/src/control/membership.c
@@ -15,7 +15,8 @@
 #define DEAD_RETRY_US (5ULL * TS_US_PER_S)
 /*
  * A joining node asks one node at a time: each answers with the full member list, and asking
- * several would overload the seeds that all starting nodes know. The next retry asks another node.
+ * several would make the seeds, which all starting nodes know, the busiest nodes of a large fleet.
+ * The next retry asks another node.
  */
 #define JOIN_RETRY_US (250ULL * TS_US_PER_MS)
 #define JOIN_FANOUT 1U
--- a/tests/control/test_membership.c
+++ b/tests/control/test_membership.c
@@ -21,8 +21,8 @@
 }
 
 /*
- * All nodes start at once with the same three seeds. The seeds must not be overloaded by join
- * requests, and the views must converge within 14 s.
+ * All nodes start at once with the same three seeds. Join traffic must not concentrate on the
+ * seeds, and the views must converge before requests from callers arrive.
  */
 static void test_seeds_share_join_load(void **state)
 {
