--- a/include/tealspar/admission.h
+++ b/include/tealspar/admission.h
@@ -1,4 +1,4 @@
-/** The owner's gate: run now, wait for a slot, or refuse early what cannot finish. Pure. */
+/** Admission control at the owner of a backend: run now, queue, or reject. Pure functions. */
 #ifndef TEALSPAR_ADMISSION_H
 #define TEALSPAR_ADMISSION_H
 
@@ -9,25 +9,26 @@
 #include "tealspar/error.h"
 
 typedef struct ts_admission_input {
-    uint32_t slots; /**< that may be used now */
+    uint32_t slots; /**< slots available for use */
     uint32_t slots_in_use;
     uint32_t kind_in_use; /**< slots held by this kind */
     uint32_t kind_share_percent;
-    uint32_t queue_ahead;  /**< waiting at this priority or above */
-    uint32_t queue_length; /**< waiting in all */
+    uint32_t queue_ahead;  /**< jobs queued at this priority or above */
+    uint32_t queue_length; /**< all queued jobs */
     uint32_t queue_max;
-    double service_us;    /**< average service time; 0 when unknown */
-    ts_time_us_t left_us; /**< until the deadline */
+    double service_us;    /**< average service time; 0: unknown */
+    ts_time_us_t left_us; /**< time left until the deadline */
 } ts_admission_input_t;
 
 typedef enum ts_admission { TS_ADMIT_RUN, TS_ADMIT_QUEUE, TS_ADMIT_REFUSE } ts_admission_t;
 
-/** Decides on one subrequest; for REFUSE `*error` says why (nothing was run). */
+/** Decides on one subrequest. For TS_ADMIT_REFUSE, `*error` is the reason; nothing was executed. */
 ts_admission_t ts_admission_decide(const ts_admission_input_t *input, ts_error_t *error);
-/** Whether a slot is free for a kind that holds `kind_in_use` and may hold `share` percent. */
+/** Whether a slot is free and the kind is below its share (in percent, rounded up) of all slots. */
 bool ts_admission_has_slot(uint32_t slots, uint32_t slots_in_use, uint32_t kind_in_use,
                            uint32_t share_percent);
-/** Rank of a waiting job: the highest is served first. Waiting raises it, so none starves. */
+/** Rank of a queued job; the highest runs first. It rises with the waiting time, so that no job
+ * starves. */
 double ts_admission_rank(uint32_t priority, ts_time_us_t waited_us);
 
 #endif
--- a/include/tealspar/cold_share.h
+++ b/include/tealspar/cold_share.h
@@ -1,7 +1,8 @@
 /**
- * How many requests a node may send to a cold back end. All nodes together must stay within what it
- * bears in any second, without talking: the rate is dealt out by place as connections are, and each
- * node keeps to its share in a window that is somewhat longer than the second. Pure.
+ * Rate limit for requests to an instance that is warming up (cold). It applies to all nodes
+ * together in any second, without coordination: the rate is divided by node index as connections
+ * are (connection_share.h), and each node enforces its share over a window somewhat longer than a
+ * second. Does not read the clock.
  */
 #ifndef TEALSPAR_COLD_SHARE_H
 #define TEALSPAR_COLD_SHARE_H
@@ -11,37 +12,39 @@
 
 #include "tealspar/clock.h"
 
-/** What a cold back end bears from all nodes together. */
+/** Request limit of a cold instance, for all nodes together. */
 typedef struct ts_cold_rule {
-    double overrun; /**< times its service's rate */
-    double slack;   /**< requests a second beyond that */
+    double overrun; /**< factor on the service's warm-up rate */
+    double slack;   /**< requests per second on top of that */
 } ts_cold_rule_t;
 
-/** How a node sees the fleet, as far as shares depend on it. */
+/** A node's view of the fleet, as needed to compute shares. */
 typedef struct ts_fleet_place {
-    unsigned nodes;  /**< the most that were seen live at once */
-    unsigned place;  /**< of this node in the order for the instance; 0: the first */
-    bool is_certain; /**< the node has known a fleet of about this size for a while */
+    unsigned nodes;  /**< highest number of live nodes seen at once */
+    unsigned place;  /**< index of this node in the order of nodes for the instance */
+    bool is_certain; /**< the fleet has had about this size for a while */
 } ts_fleet_place_t;
 
+/** Slices of the sliding window. */
 #define TS_COLD_SLICES 6U
 
-/** Sends of one node to one instance, by slices of time. */
+/** Requests sent by one node to one instance, in a sliding window of time slices. */
 typedef struct ts_cold_window {
-    uint32_t share;  /**< requests that this node may send within the window */
-    uint64_t latest; /**< number of the slice that was counted last */
+    uint32_t share;  /**< requests that this node may send per window */
+    uint64_t latest; /**< number of the latest slice counted */
     uint16_t sent[TS_COLD_SLICES];
 } ts_cold_window_t;
 
 /**
- * Requests a window that a node may send to a cold instance which bears `rate` a second. The shares
- * of all places sum to two thirds of the bound. A node that is not certain of the fleet takes only
- * what every node has, as others may hold the same place in another view.
+ * Requests per window that a node may send to a cold instance whose service allows `rate` per
+ * second during warm-up. The shares of all indices add up to at most two thirds of the limit. While
+ * its view of the fleet is not stable, a node takes only the share that every index has, as another
+ * node may hold the same index in a different view.
  */
 uint32_t ts_cold_share(const ts_cold_rule_t *rule, double rate, const ts_fleet_place_t *fleet);
-/** Whether the share allows one more request now. */
+/** Whether the share allows another request now. */
 bool ts_cold_window_has_room(const ts_cold_window_t *window, ts_time_us_t now_us);
-/** A request is sent. */
+/** Counts a request that is being sent. */
 void ts_cold_window_note(ts_cold_window_t *window, ts_time_us_t now_us);
 
 #endif
--- a/include/tealspar/connection_share.h
+++ b/include/tealspar/connection_share.h
@@ -1,8 +1,8 @@
 /**
- * Which gateways keep connections to a back end while they rest. A back end takes a limited number
- * from all callers together, so the nodes agree without talking: all order themselves in the same
- * way for each instance, those nearest to it first and then by rendezvous weight, and the
- * connections are dealt out in that order. Pure.
+ * How many idle connections each gateway node keeps to an instance. An instance accepts a limited
+ * number from all callers together. The limit is divided without coordination: all nodes compute
+ * the same order for an instance, those in its region first and then by rendezvous weight, and a
+ * node's index in that order gives its share. Pure functions.
  */
 #ifndef TEALSPAR_CONNECTION_SHARE_H
 #define TEALSPAR_CONNECTION_SHARE_H
@@ -10,17 +10,17 @@
 #include <stdint.h>
 
 /**
- * Connections that the node at `place` (0: the first) among `nodes` may keep to an instance that
- * takes `connections_max` from all; 0 means that it opens one when it needs one and closes it
- * after. The shares of all places together never exceed two thirds of the limit, as an instance
- * takes fewer while its queue is long.
+ * Idle connections that the node with index `place` (from 0) of `nodes` may keep to an instance
+ * that accepts `connections_max` from all nodes; 0: connections are closed after use. The shares of
+ * all indices never exceed two thirds of the limit, as an instance accepts fewer while its queue is
+ * long.
  */
 uint32_t ts_connection_share(uint32_t connections_max, unsigned nodes, unsigned place);
 
 /**
- * How many connections to one instance a node may use at once: an even share, but two at least
- * where the instance takes as many connections as there are nodes (few use two at the same time),
- * else one.
+ * Connections to one instance that a node may use at once: an even share, but at least two if the
+ * instance accepts as many connections as there are nodes (few nodes use two at the same time), and
+ * at least one otherwise.
  */
 uint32_t ts_connections_in_use_max(uint32_t connections_max, unsigned nodes);
 
--- a/include/tealspar/mechanism.h
+++ b/include/tealspar/mechanism.h
@@ -1,6 +1,6 @@
 /**
- * The mechanisms of the decision that a setting (`without`) can switch off one by one, to measure
- * what each is worth (bench/platform/ablation). One choice for the process.
+ * Routing mechanisms that the setting `without` can disable one by one, to measure the effect of
+ * each (bench/platform/ablation). Applies to the whole process.
  */
 #ifndef TEALSPAR_MECHANISM_H
 #define TEALSPAR_MECHANISM_H
@@ -8,25 +8,26 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* X(symbol, name, what it does) */
+/* X(symbol, name in the settings, description) */
 #define TS_MECHANISM_TABLE(X)                                                                      \
-    X(PENDING, "pending", "a starting gateway holds requests for a moment")                        \
-    X(RETURNED, "returned", "requests that returned may wait longer for their beginning")          \
-    X(SCARCE, "scarce", "parts that can be missing leave full back ends to others")                \
-    X(PRIORITY, "priority", "less urgent requests are not refused less often")                     \
-    X(TRAVEL, "travel", "travel to a zone is measured")                                            \
-    X(FAILING, "failing", "back ends that fail part of their requests cost more")                  \
-    X(MERGED, "merged", "what answers say of a back end is told to the whole fleet")               \
-    X(LATE_SIGN, "late_sign", "back ends whose answers are late cost more")                        \
-    X(SUSPICION, "suspicion", "an overdue send makes its back end suspected")                      \
-    X(SIGHTINGS, "sightings", "other gateways are told of suspicions")                             \
-    X(SECOND_SENDS, "second_sends", "overdue parts are sent again")                                \
-    X(PATIENT_SECOND, "patient_second", "second sends are made as late as the aim allows")         \
-    X(SPARING, "sparing", "parts that can be missing leave scarce extra sends to others")          \
-    X(LOANS, "loans", "extra sends are lent among gateways")                                       \
-    X(LIMITS, "limits", "limits of requests in flight are learned")                                \
-    X(FORGOTTEN, "forgotten", "resets of resting connections teach how long they may rest")        \
-    X(QUARANTINE, "quarantine", "requests that end back ends are sent one at a time, then held")
+    X(PENDING, "pending", "a starting gateway briefly holds requests")                             \
+    X(RETURNED, "returned", "retries after a refusal may wait longer for admission")               \
+    X(SCARCE, "scarce", "optional parts leave scarce backends to others")                          \
+    X(PRIORITY, "priority", "requests of lower priority are refused at least as often")            \
+    X(TRAVEL, "travel", "round-trip times to zones are measured")                                  \
+    X(FAILING, "failing", "the failure rate of an instance raises its cost")                       \
+    X(MERGED, "merged", "health statistics of instances are merged across the fleet")              \
+    X(LATE_SIGN, "late_sign", "slow responses of an instance raise its cost")                      \
+    X(SUSPICION, "suspicion", "an overdue request makes its instance suspected")                   \
+    X(SIGHTINGS, "sightings", "suspicions are shared with other gateways")                         \
+    X(SECOND_SENDS, "second_sends", "overdue parts are hedged")                                    \
+    X(PATIENT_SECOND, "patient_second", "hedges are sent as late as the target latency allows")    \
+    X(SPARING, "sparing", "optional parts leave a low retry budget to others")                     \
+    X(LOANS, "loans", "gateways lend each other retry budget")                                     \
+    X(LIMITS, "limits", "limits of requests in flight are learned per instance")                   \
+    X(FORGOTTEN, "forgotten", "idle timeouts of connections are learned from resets")              \
+    X(QUARANTINE, "quarantine",                                                                    \
+      "requests suspected of crashing instances are sent alone, then quarantined")
 
 #define TS_MECHANISM_ENUM(symbol, name, text) TS_MECHANISM_##symbol,
 typedef enum ts_mechanism {
@@ -34,7 +35,7 @@
 } ts_mechanism_t;
 #undef TS_MECHANISM_ENUM
 
-/** Switches off the mechanisms of these bits (1 << ts_mechanism_t), and all others on. */
+/** Disables the mechanisms in `bits` (1 << ts_mechanism_t) and enables all others. */
 void ts_mechanisms_set_off(uint32_t bits);
 bool ts_mechanism_is_on(ts_mechanism_t mechanism);
 
--- a/include/tealspar/patience.h
+++ b/include/tealspar/patience.h
@@ -1,7 +1,8 @@
 /**
- * How long callers of a route usually wait for an answer, to tell those that came back after a
- * refusal: they have less time than usual. A high quantile of the latest requests, so that a few
- * callers with a huge deadline do not make all others look as if they had returned. Pure.
+ * Typical timeout that callers of a route set, used to recognize retries after a refusal: these
+ * have less time left than usual. The typical value is a high quantile of the latest requests
+ * rather than the maximum, so that a few callers with a huge timeout don't make all others look
+ * like retries.
  */
 #ifndef TEALSPAR_PATIENCE_H
 #define TEALSPAR_PATIENCE_H
@@ -11,17 +12,17 @@
 
 #define TS_PATIENCE_SAMPLES 32U
 
-/** The patience of the latest callers that told theirs, in milliseconds. */
+/** Timeouts of the latest requests that carried one, as a ring buffer. */
 typedef struct ts_patience {
     uint32_t latest_ms[TS_PATIENCE_SAMPLES];
-    uint32_t count; /**< callers so far */
+    uint32_t count; /**< requests added so far */
 } ts_patience_t;
 
-/** A caller waits as long; 0: it did not say, and is not counted. */
+/** Adds the timeout of a request; 0 (none given) is ignored. */
 void ts_patience_note(ts_patience_t *patience, uint32_t patience_ms);
-/** How long callers usually wait; 0: nobody has said so far. */
+/** The typical timeout; 0: no request has carried one yet. */
 uint32_t ts_patience_usual_ms(const ts_patience_t *patience);
-/** Whether a caller with this patience has less than usual, as after a refusal. */
+/** Whether a timeout is shorter than usual, which suggests a retry after a refusal. */
 bool ts_patience_has_returned(const ts_patience_t *patience, uint32_t patience_ms);
 
 #endif
--- a/include/tealspar/quantile.h
+++ b/include/tealspar/quantile.h
@@ -1,6 +1,6 @@
 /**
- * A running estimate of one quantile by stochastic approximation: constant memory, follows slow
- * changes. Values in microseconds. Pure.
+ * Running estimate of one quantile by stochastic approximation. Uses constant memory and follows
+ * slow changes of the distribution. Values are in microseconds.
  */
 #ifndef TEALSPAR_QUANTILE_H
 #define TEALSPAR_QUANTILE_H
@@ -9,11 +9,11 @@
 
 typedef struct ts_quantile {
     double target;   /**< 0.95 for the 95th percentile */
-    double value_us; /**< the estimate; 0 until the first value */
+    double value_us; /**< the estimate; 0: none yet */
     uint32_t count;
 } ts_quantile_t;
 
-/** Starts it at a first guess (0: none), for a target between 0 and 1. */
+/** `target` is between 0 and 1; `guess_us` is an initial estimate (0: none). */
 void ts_quantile_init(ts_quantile_t *quantile, double target, double guess_us);
 void ts_quantile_add(ts_quantile_t *quantile, double value_us);
 
--- a/include/tealspar/quarantine.h
+++ b/include/tealspar/quarantine.h
@@ -1,7 +1,11 @@
 /**
- * Requests under which back ends ended: which of them to try with care, and which to refuse. A
- * table of entries that is the same at every node as soon as their rows have passed; pure, no
- * sockets and no clock. See docs/design/quarantine.md.
+ * Table of requests suspected of crashing backends: which to send alone, and which to
+ * quarantine, that is to refuse. Nodes
+ * exchange rows and merge them, so that the tables of all nodes converge. Uses no sockets and does
+ * not read the clock. See docs/design/quarantine.md.
+ *
+ * A lone send is a send made while no other send of the same request is in flight, so that a crash
+ * can be attributed to it. A trial is a lone send of a suspected request.
  */
 #ifndef TEALSPAR_QUARANTINE_H
 #define TEALSPAR_QUARANTINE_H
@@ -15,69 +19,70 @@
 typedef struct ts_quarantine ts_quarantine_t;
 
 typedef enum ts_quarantine_state {
-    TS_QUARANTINE_CLEAR,   /**< nothing speaks against it */
-    TS_QUARANTINE_SUSPECT, /**< to be tried by one send at a time */
-    TS_QUARANTINE_TRIAL,   /**< some node tries it just now: its outcome decides */
-    TS_QUARANTINE_HELD     /**< to be refused */
+    TS_QUARANTINE_CLEAR,   /**< not suspected */
+    TS_QUARANTINE_SUSPECT, /**< to be sent by lone sends only */
+    TS_QUARANTINE_TRIAL,   /**< some node has a trial in flight; await its outcome */
+    TS_QUARANTINE_HELD     /**< quarantined: to be refused */
 } ts_quarantine_state_t;
 
-/** An entry as it stands, to be told to other nodes. */
+/** State of an entry, as sent to other nodes. */
 typedef struct ts_quarantine_row {
     ts_request_digest_t digest;
-    uint32_t epoch;        /**< rises when it is suspected again after it was cleared */
-    uint32_t strikes;      /**< back ends that ended under a lone send */
-    uint32_t trials_begun; /**< lone sends, over all nodes */
+    uint32_t epoch;   /**< incremented when the request is suspected again after it was cleared */
+    uint32_t strikes; /**< backends that crashed during a lone send */
+    uint32_t trials_begun; /**< over all nodes */
     uint32_t trials_ended;
-    uint32_t age_ms;     /**< since `strikes` or `is_cleared` last changed */
-    const char *service; /**< where a back end last ended under it; never NULL */
-    bool is_cleared;     /**< it ran whole */
+    uint32_t age_ms;     /**< time since `strikes` or `is_cleared` last changed */
+    const char *service; /**< service whose backend crashed last; never NULL */
+    bool is_cleared;     /**< completed successfully since */
 } ts_quarantine_row_t;
 
-/** Called with what others should know. */
+/** Called with a changed row that is to be sent to other nodes. */
 typedef void (*ts_quarantine_tell_t)(void *ctx, const ts_quarantine_row_t *row);
-/** Called with each entry, the most important first; false ends it. */
+/** Called for each entry, in order of importance; returns false to stop. */
 typedef bool (*ts_quarantine_visit_t)(void *ctx, const ts_quarantine_row_t *row);
 
 ts_quarantine_t *ts_quarantine_create(void);
 void ts_quarantine_destroy(ts_quarantine_t *quarantine);
-/** Who passes on what this node finds; nobody at first. */
+/** Sets the callback for changes that this node makes; none by default. */
 void ts_quarantine_on_news(ts_quarantine_t *quarantine, ts_quarantine_tell_t tell, void *ctx);
 
-/** Whether no request is suspected: then there is no need to look one up. */
+/** Whether the table is empty, so that callers can skip the lookup. */
 bool ts_quarantine_is_empty(const ts_quarantine_t *quarantine);
 ts_quarantine_state_t ts_quarantine_find(const ts_quarantine_t *quarantine,
                                          const ts_request_digest_t *digest, ts_time_us_t now_us);
-/** The service where a back end last ended under it; NULL if there is no entry. */
+/** The service whose backend crashed last; NULL if there is no entry. */
 const char *ts_quarantine_service(const ts_quarantine_t *quarantine,
                                   const ts_request_digest_t *digest);
 
-/** All sends of a try broke, and a back end of the service has ended. */
+/** All sends of a request were broken off, and a backend of the service has crashed. */
 void ts_quarantine_suspect(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                            const char *service, ts_time_us_t now_us);
 /**
- * A back end of the service ended under a lone send of it that left at `sent_us`. One that left
- * before the last strike was known adds none: what ended its back end may be what ended that one.
+ * Counts a strike: a backend of the service crashed during a lone send that was sent at `sent_us`.
+ * A send from before the previous strike became known does not count, as both crashes may have the
+ * same cause.
  */
 void ts_quarantine_strike(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                           const char *service, ts_time_us_t sent_us, ts_time_us_t now_us);
-/** It ran whole at a back end of the service. */
+/** The request completed successfully at a backend of the service. */
 void ts_quarantine_clear(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                          const char *service, ts_time_us_t now_us);
-/** This node begins to try a suspect, and has its outcome, unless a strike or a clear tells it. */
+/** Begins and ends a trial by this node. A strike or a clear needs no call to end the trial. */
 void ts_quarantine_begin_trial(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                                ts_time_us_t now_us);
 void ts_quarantine_end_trial(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                              ts_time_us_t now_us);
 
-/** What another node has told. Returns whether it was news, to be passed on. */
+/** Merges a row from another node. Returns whether it changed anything and is to be forwarded. */
 bool ts_quarantine_merge(ts_quarantine_t *quarantine, const ts_quarantine_row_t *row,
                          ts_time_us_t now_us);
-/** A sum over what is held; nodes with the same have nothing to tell each other. */
+/** Checksum over the quarantined entries; nodes with equal checksums need not synchronize. */
 uint64_t ts_quarantine_sum(const ts_quarantine_t *quarantine, ts_time_us_t now_us);
-/** Visits all that is held, then the latest suspects, at most `suspects_max` of them. */
+/** Visits all quarantined entries, then the latest others, at most `suspects_max` of them. */
 void ts_quarantine_each(const ts_quarantine_t *quarantine, ts_time_us_t now_us,
                         unsigned suspects_max, ts_quarantine_visit_t visit, void *ctx);
-/** Forgets what is over. */
+/** Removes expired entries. */
 void ts_quarantine_sweep(ts_quarantine_t *quarantine, ts_time_us_t now_us);
 unsigned ts_quarantine_count(const ts_quarantine_t *quarantine, ts_quarantine_state_t state,
                              ts_time_us_t now_us);
--- a/include/tealspar/records.h
+++ b/include/tealspar/records.h
@@ -1,6 +1,6 @@
 /**
- * The merge of parts: records of 16 bytes, compared as bytes. The greatest `top` of all parts are
- * kept in a bounded heap; equal records all count. Pure.
+ * Merges the results of parts into the top records. A record has 16 bytes and is compared like
+ * memcmp; the `top` greatest are kept in a bounded heap. Duplicates are kept.
  */
 #ifndef TEALSPAR_RECORDS_H
 #define TEALSPAR_RECORDS_H
@@ -11,14 +11,14 @@
 #define TS_RECORD_BYTES 16U
 
 typedef struct ts_top_records {
-    GArray *heap; /**< of records, the least at the front */
-    size_t top;
+    GArray *heap; /**< min-heap of records */
+    size_t top;   /**< records to keep */
 } ts_top_records_t;
 
 void ts_top_records_init(ts_top_records_t *records, size_t top);
-/** Adds the records of one part; a remainder shorter than a record is no record. */
+/** Adds the records of one part; trailing bytes shorter than a record are ignored. */
 void ts_top_records_add(ts_top_records_t *records, const char *bytes, size_t length);
-/** Appends what was kept, the greatest first, and frees the heap. */
+/** Appends the kept records to `out` in descending order and frees the heap. */
 void ts_top_records_finish(ts_top_records_t *records, GString *out);
 
 #endif
--- a/include/tealspar/replica.h
+++ b/include/tealspar/replica.h
@@ -1,66 +1,66 @@
 /**
- * The choice of an instance for one request or one part: the least expected time to an answer.
- * Pure: a function of the given beliefs and time.
+ * Selects the instance for a request, or for one part of it, by the lowest expected response time.
+ * Depends only on the state that is passed in; does not read the clock.
  */
 #ifndef TEALSPAR_REPLICA_H
 #define TEALSPAR_REPLICA_H
 
 #include "tealspar/registry.h"
 
-/** What the choice depends on beside the instances. */
+/** Parameters of the selection besides the instances. */
 typedef struct ts_replica_input {
-    double work_us; /**< typical time of such a request at an instance */
+    double work_us; /**< typical service time of such a request */
     ts_time_us_t now_us;
-    ts_time_us_t drain_us;    /**< an instance that is leaving takes no new work after this */
-    uint32_t connections_max; /**< this node's connections to one instance */
-    uint32_t nodes;           /**< among which an instance's slots are divided */
+    ts_time_us_t drain_us; /**< how long an instance that drains or was delisted may get new work */
+    uint32_t connections_max; /**< limit of this node's connections to one instance */
+    uint32_t nodes;           /**< nodes that share an instance's slots */
     uint32_t random;          /**< breaks ties */
-    const GPtrArray *regions; /**< where the request may be served, interned; NULL: anywhere */
+    const GPtrArray *regions; /**< allowed regions, interned strings; NULL: all */
 } ts_replica_input_t;
 
-/** What keeps new work from an instance, whatever it costs; the first that holds. */
+/** Why an instance must not get a request, whatever its cost. */
 typedef enum ts_obstacle {
     TS_OBSTACLE_NONE,
-    TS_OBSTACLE_PLACEMENT,  /**< it stands where the request may not be served */
+    TS_OBSTACLE_PLACEMENT,  /**< its region is not allowed for the request */
     TS_OBSTACLE_EVACUATION, /**< its zone is being evacuated */
-    TS_OBSTACLE_LEAVING     /**< it has been draining or gone for too long */
+    TS_OBSTACLE_LEAVING     /**< it started to drain or was delisted more than `drain_us` ago */
 } ts_obstacle_t;
 
-/** What rules an instance out for a request, if anything does. */
+/** The first reason, in enum order, that excludes an instance. */
 ts_obstacle_t ts_replica_find_obstacle(const ts_instance_t *instance,
                                        const ts_replica_input_t *input);
-/** Whether an instance may be sent new work at all. */
+/** Whether an instance is not excluded. */
 bool ts_replica_is_usable(const ts_instance_t *instance, const ts_replica_input_t *input);
-/** Whether instances of the service are listed, and placement or evacuations rule out them all. */
+/** Whether the service has listed instances, and placement or evacuation excludes all instances. */
 bool ts_replica_is_excluded(const ts_service_t *service, const ts_replica_input_t *input);
-/** Whether some instance of the service could take a request at once, and is believed well. */
+/** Whether some usable instance has room and has not failed or refused recently. */
 bool ts_replica_is_any_free(const ts_service_t *service, const ts_replica_input_t *input);
-/** Why instances of a service cannot take a request at once; each counts under its first reason. */
+/** Why instances cannot take a request now. Each instance counts for its first reason only. */
 typedef struct ts_replica_census {
-    unsigned listed;
-    unsigned misplaced; /**< stands where the request may not be served */
+    unsigned listed;    /**< instances of the service */
+    unsigned misplaced; /**< its region is not allowed for the request */
     unsigned evacuated; /**< its zone is being evacuated */
-    unsigned leaving;   /**< drains or left, for too long */
-    unsigned full;      /**< has as many requests of this node as it may */
-    unsigned avoided;   /**< failed or refused a moment ago */
-    unsigned in_flight; /**< requests of this node at all of them */
+    unsigned leaving;   /**< draining or delisted for too long */
+    unsigned full;      /**< at this node's limit */
+    unsigned avoided;   /**< failed or refused recently */
+    unsigned in_flight; /**< requests of this node at all instances */
 } ts_replica_census_t;
 
 ts_replica_census_t ts_replica_count(const ts_service_t *service, const ts_replica_input_t *input);
 /**
- * Whether this node has as many requests there as it may: by connections, by what was learned, and
- * by its share of what a cold one bears.
+ * Whether this node is at its limit for the instance: of connections, of requests in flight (a
+ * learned limit), or its share of the request rate during warm-up.
  */
 bool ts_replica_is_full(const ts_instance_t *instance, const ts_replica_input_t *input);
-/** Expected time to an answer in microseconds, with penalties for what is doubtful. */
+/** Expected response time in microseconds, plus penalties for an instance in doubtful health. */
 double ts_replica_cost(const ts_instance_t *instance, const ts_replica_input_t *input);
 /**
- * The best instance of a service that is not among `tried`; NULL when there is none. One that was
- * suspected for a while is given a single request now and then.
+ * Selects the instance with the lowest cost that is usable, not full and not among `tried`; NULL if
+ * there is none. A suspected instance gets a single probe request from time to time.
  */
 ts_instance_t *ts_replica_choose(const ts_service_t *service, const ts_replica_input_t *input,
                                  ts_instance_t *const *tried, unsigned tried_count);
-/** Whether some instance that was not tried could take the request once it is less busy. */
+/** Whether some untried usable instance is only full, so that waiting for it makes sense. */
 bool ts_replica_is_worth_waiting(const ts_service_t *service, const ts_replica_input_t *input,
                                  ts_instance_t *const *tried, unsigned tried_count);
 
--- a/include/tealspar/retry_budget.h
+++ b/include/tealspar/retry_budget.h
@@ -1,9 +1,10 @@
 /**
- * The retry budget of one service on one node, over a sliding window. The fleet's budget is
- * `ratio` x requests + `slack`. The ratio part divides by itself: each node spends at most the
- * ratio of what it was asked. Of the slack a node takes a fixed small share, as it does not know
- * how many others live. What a node does not need it lends to one that has run out: a loan counts
- * where it was granted, so the fleet's sum stays the same. Pure: no clock.
+ * Retry budget of one service on one node, over a sliding window. Hedges are charged like retries.
+ * The fleet may spend
+ * `ratio` x requests + `slack`. Each node applies the ratio to its own requests and takes a small
+ * fixed share of the slack, as it does not know how many nodes are live. A node with unused budget
+ * lends it to one that has run out; a loan is charged to the lender, so the fleet's total does not
+ * change. Does not read the clock.
  */
 #ifndef TEALSPAR_RETRY_BUDGET_H
 #define TEALSPAR_RETRY_BUDGET_H
@@ -15,38 +16,38 @@
 
 #define TS_RETRY_BUDGET_SLICES 10U
 
-/** What the fleet may spend, from the settings. */
+/** Limits from the settings. */
 typedef struct ts_retry_budget_rule {
-    double ratio;           /**< extra sends for each request */
-    double slack_share;     /**< extra sends in a window that this node may add */
-    ts_time_us_t window_us; /**< length of the window */
+    double ratio;           /**< retries per request */
+    double slack_share;     /**< this node's share of the slack: retries per window */
+    ts_time_us_t window_us; /**< length of the sliding window */
 } ts_retry_budget_rule_t;
 
-/** Sends to one service in the slices of the window. */
+/** Requests and retries of one service, in slices of the window. */
 typedef struct ts_retry_budget {
     uint32_t requests[TS_RETRY_BUDGET_SLICES];
-    uint32_t extras[TS_RETRY_BUDGET_SLICES + 1]; /**< one slice more: the window slides */
-    uint64_t slice;                              /**< number of the slice in use */
-    uint32_t borrowed;                           /**< extra sends that other nodes granted */
-    ts_time_us_t borrowed_until_us;              /**< after this they are void */
-    ts_time_us_t asked_us;                       /**< when a loan was last asked for */
+    uint32_t retries[TS_RETRY_BUDGET_SLICES + 1]; /**< one slice more, as the window slides */
+    uint64_t slice;                               /**< number of the current slice */
+    uint32_t borrowed;                            /**< retries granted by other nodes */
+    ts_time_us_t borrowed_until_us;               /**< expiry of `borrowed` */
+    ts_time_us_t asked_us;                        /**< time of the last loan request */
 } ts_retry_budget_t;
 
-/** Counts a request for the service, whether or not it is sent. */
+/** Counts a request for the service, whether or not it is forwarded. */
 void ts_retry_budget_count_request(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
                                    ts_time_us_t now_us);
-/** Whether less than half of what the window allows is left. */
+/** Whether less than half of the window's budget is left. */
 bool ts_retry_budget_is_low(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
                             ts_time_us_t now_us);
-/** Takes one extra send; false, and nothing taken, when the budget does not hold one. */
+/** Takes one retry; returns false if the budget is exhausted. */
 bool ts_retry_budget_take(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
                           ts_time_us_t now_us);
-/** Grants up to `most` extra sends to another node and counts them here; returns how many. */
+/** Grants up to `most` retries to another node and charges them here; returns the number. */
 uint32_t ts_retry_budget_lend(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
                               uint32_t most, ts_time_us_t now_us);
-/** Another node granted `count` extra sends; they are void after a moment. */
+/** Adds `count` retries granted by another node; they expire shortly. */
 void ts_retry_budget_borrow(ts_retry_budget_t *budget, uint32_t count, ts_time_us_t now_us);
-/** Gives back an extra send that never left. */
+/** Returns a retry that was taken but not sent. */
 void ts_retry_budget_return(ts_retry_budget_t *budget);
 
 #endif
--- a/include/tealspar/route_state.h
+++ b/include/tealspar/route_state.h
@@ -1,7 +1,6 @@
 /**
- * What a node learns about the requests of one route, kept by the route's name across versions of
- * the configuration: how long a back end typically takes, when an answer is overdue, and whose turn
- * it is in a weighted split. Pure: spans are given.
+ * Per-route statistics of a node: backend latency, request outcomes, and the position in a weighted
+ * split. Kept by route name, so that they survive a configuration change. Does not read the clock.
  */
 #ifndef TEALSPAR_ROUTE_STATE_H
 #define TEALSPAR_ROUTE_STATE_H
@@ -13,44 +12,44 @@
 #include "tealspar/quantile.h"
 #include "tealspar/traffic.h"
 
-/** How a request ended. */
+/** Outcome of a request. */
 typedef enum ts_outcome {
     TS_OUTCOME_OK,
-    TS_OUTCOME_PARTIAL, /**< a success with parts missing */
-    TS_OUTCOME_REFUSED, /**< not run */
-    TS_OUTCOME_FAILED,  /**< it may have run */
-    TS_OUTCOME_LEFT,    /**< the caller left first */
+    TS_OUTCOME_PARTIAL, /**< succeeded with parts missing */
+    TS_OUTCOME_REFUSED, /**< rejected without having been executed */
+    TS_OUTCOME_FAILED,  /**< failed; may have been executed */
+    TS_OUTCOME_LEFT,    /**< the caller disconnected before the response */
     TS_OUTCOME_COUNT
 } ts_outcome_t;
 
-/** Stable name of an outcome, for metrics. */
+/** Name of an outcome, used as a metric label. */
 const char *ts_route_outcome_name(ts_outcome_t outcome);
 
 typedef struct ts_route_state {
-    ts_quantile_t typical; /**< the median time of a back end, without travel */
-    ts_quantile_t overdue; /**< the quantile after which a second send is worth its cost */
+    ts_quantile_t typical; /**< median response time of a backend, as if in the nearest zone */
+    ts_quantile_t overdue; /**< response time quantile after which a request is overdue */
     ts_patience_t patience;
-    ts_histogram_t *latencies[TS_OUTCOME_COUNT]; /**< NULL until the first such outcome */
-    GHashTable *credits;                         /**< service -> double*, its turn in the split */
-    uint32_t turns_ahead; /**< turns of the split that are passed over before the first */
+    ts_histogram_t *latencies[TS_OUTCOME_COUNT]; /**< by outcome; NULL until first used */
+    GHashTable *credits;  /**< service -> double *, credit in the weighted round robin */
+    uint32_t turns_ahead; /**< turns of the round robin to skip before the first */
 } ts_route_state_t;
 
-ts_route_state_t *ts_route_state_create(uint32_t aim_ms);
+ts_route_state_t *ts_route_state_create(uint32_t target_latency_ms);
 /**
- * Where in the order of a split this node begins. Nodes that all begin at the same place would
- * together send their first requests to the same service.
+ * Starts the round robin at a random position. If all nodes started at the same one, their first
+ * requests would all go to the same service.
  */
 void ts_route_state_set_phase(ts_route_state_t *state, uint32_t random);
 void ts_route_state_free(ts_route_state_t *state);
-/** A back end of the zone answered after this span. */
+/** Adds the response time of a backend, reduced to that of one in the nearest zone. */
 void ts_route_state_note(ts_route_state_t *state, double span_us);
-/** After how long a send within the zone is overdue. */
+/** Time after which a request to a backend in the nearest zone is overdue. */
 double ts_route_state_overdue_us(const ts_route_state_t *state);
-/** A send was not answered in time; its span is not known yet. */
+/** Adds a request that is overdue, while its response time is still unknown. */
 void ts_route_state_note_overdue(ts_route_state_t *state);
-/** A request of the route ended after this span. */
+/** Records the outcome and latency of a request. */
 void ts_route_state_count(ts_route_state_t *state, ts_outcome_t outcome, ts_time_us_t span_us);
-/** The next target of a split, so that shares follow the weights as closely as whole numbers do. */
+/** Selects the next target by smooth weighted round robin. */
 const char *ts_route_state_next_target(ts_route_state_t *state, const ts_traffic_route_t *route);
 
 #endif
--- a/include/tealspar/told_load.h
+++ b/include/tealspar/told_load.h
@@ -1,4 +1,4 @@
-/** What a back end tells of its load with an answer. */
+/** Load that a backend reports with a response. */
 #ifndef TEALSPAR_TOLD_LOAD_H
 #define TEALSPAR_TOLD_LOAD_H
 
@@ -8,13 +8,13 @@
 #include "tealspar/clock.h"
 
 typedef struct ts_told_load {
-    uint32_t running;
-    uint32_t waiting;
-    uint32_t slots;
-    ts_time_us_t told_us; /**< when; 0: never */
+    uint32_t running;     /**< requests in progress */
+    uint32_t waiting;     /**< requests queued */
+    uint32_t slots;       /**< requests that it processes concurrently */
+    ts_time_us_t told_us; /**< time of the report; 0: none yet */
 } ts_told_load_t;
 
-/** Whether it had a slot free when it told this. */
+/** Whether the backend reported a free slot and an empty queue. */
 bool ts_told_load_is_idle(const ts_told_load_t *load);
 
 #endif
--- a/src/route/admission.c
+++ b/src/route/admission.c
@@ -1,8 +1,8 @@
-/** The owner's gate. */
+/** Admission control at the owner of a backend. */
 #include "tealspar/admission.h"
 
 #define PERCENT 100U
-/* Waiting this long is worth one step of priority. */
+/* Waiting time that raises the rank of a job by one priority level. */
 #define AGING_US 25000.0
 
 bool ts_admission_has_slot(uint32_t slots, uint32_t slots_in_use, uint32_t kind_in_use,
--- a/src/route/cold_share.c
+++ b/src/route/cold_share.c
@@ -1,4 +1,4 @@
-/** Shares of what cold back ends bear. */
+/** Rate limit for cold instances. */
 #include "tealspar/cold_share.h"
 
 #include <math.h>
@@ -7,8 +7,8 @@
 #include "tealspar/connection_share.h"
 
 /*
- * The window holds this slice and the five before it: at least 1.25 s, so that requests sent in two
- * windows cannot arrive within one second although some travel longer.
+ * The window covers the current slice and the five before it, at least 1.25 s. This keeps requests
+ * of two windows from arriving within the same second when some have a longer network delay.
  */
 #define SLICE_US (250 * TS_US_PER_MS)
 
--- a/src/route/connection_share.c
+++ b/src/route/connection_share.c
@@ -1,8 +1,8 @@
-/** Dealing out the connections that an instance takes. */
+/** Division of an instance's connection limit among nodes. */
 #include "tealspar/connection_share.h"
 
-/* An instance takes fewer connections while its queue is long. */
-static uint32_t usable(uint32_t connections_max)
+/* Two thirds of the limit, as an instance accepts fewer connections while its queue is long. */
+static uint32_t usable_connections(uint32_t connections_max)
 {
     return connections_max * 2 / 3;
 }
@@ -10,12 +10,12 @@
 uint32_t ts_connections_in_use_max(uint32_t connections_max, unsigned nodes)
 {
     uint32_t least = connections_max >= nodes ? 2 : 1;
-    uint32_t share = usable(connections_max) / nodes;
+    uint32_t share = usable_connections(connections_max) / nodes;
     return share > least ? share : least;
 }
 
 uint32_t ts_connection_share(uint32_t connections_max, unsigned nodes, unsigned place)
 {
-    uint32_t dealt = usable(connections_max);
-    return dealt / nodes + (place < dealt % nodes ? 1 : 0);
+    uint32_t total = usable_connections(connections_max);
+    return total / nodes + (place < total % nodes ? 1 : 0);
 }
--- a/src/route/evidence.c
+++ b/src/route/evidence.c
@@ -1,29 +1,29 @@
-/** Evidence about an instance: sums of answers that fade and add up over gateways. */
+/** Health statistics of an instance. */
 #include "tealspar/evidence.h"
 
 #include <glib.h>
 #include <math.h>
 
-/* What was seen weighs half after this; most troubles of back ends last some seconds. */
+/* Half-life of the sums; most disturbances of a backend last a few seconds. */
 #define HALF_LIFE_US (1.5 * (double)TS_US_PER_S)
-/* Answers that come within this span weigh as one where times are compared. */
+/* Response times within one slot are averaged and count as one. */
 #define SLOT_US (100 * TS_US_PER_MS)
-/* So many good answers, and slots of usual time, are assumed beside what was seen. */
+/* Prior: successful responses, and slots with the expected response time, added to those seen. */
 #define PRIOR_ANSWERS 3.0
 #define PRIOR_SLOTS 3.0
-/* Ratios beyond these say no more. */
-#define RATIO_LEAST 0.25
-#define RATIO_MOST 16.0
-/* An answer this many times later than usual is a sign; 1 in 200 is, of an instance that is well.
+/* Time ratios are clamped to this range; more extreme ones carry no further information. */
+#define RATIO_MIN 0.25
+#define RATIO_MAX 16.0
+/* A response with a higher time ratio counts as slow; 1 in 200 responses of a healthy instance do.
  */
-#define SIGN_RATIO 2.5
-/* Beyond these an instance is unusual. */
-#define USUAL_FAILING 0.08
-#define USUAL_SLOWNESS 1.3
+#define SLOW_RATIO 2.5
+/* Thresholds above which an instance counts as anomalous. */
+#define ANOMALOUS_FAILURE_RATE 0.08
+#define ANOMALOUS_LATENCY_RATIO 1.3
 
 bool ts_evidence_is_late(double ratio)
 {
-    return ratio > SIGN_RATIO;
+    return ratio > SLOW_RATIO;
 }
 
 void ts_evidence_count_verdict(ts_evidence_count_t *count, bool is_failure)
@@ -36,7 +36,7 @@
 void ts_evidence_count_time(ts_evidence_count_t *count, double ratio)
 {
     count->timed++;
-    count->log_ratio += log(CLAMP(ratio, RATIO_LEAST, RATIO_MOST));
+    count->log_ratio += log(CLAMP(ratio, RATIO_MIN, RATIO_MAX));
     count->has_sign |= ts_evidence_is_late(ratio);
 }
 
@@ -59,17 +59,17 @@
     ts_evidence_sums_t sums = evidence->sums;
     if (now_us <= evidence->at_us)
         return sums;
-    double left = exp2(-(double)(now_us - evidence->at_us) / HALF_LIFE_US);
-    sums.answers *= left;
-    sums.failures *= left;
-    sums.slots *= left;
-    sums.log_ratio *= left;
+    double decay = exp2(-(double)(now_us - evidence->at_us) / HALF_LIFE_US);
+    sums.answers *= decay;
+    sums.failures *= decay;
+    sums.slots *= decay;
+    sums.log_ratio *= decay;
     return sums;
 }
 
-/* The slot's mean moves as more of its answers come; the slot itself counts once. */
-static void note_times(ts_evidence_t *evidence, const ts_evidence_count_t *count,
-                       ts_time_us_t now_us)
+/* Updates the mean of the current slot. The slot counts once, however many responses it has. */
+static void add_times(ts_evidence_t *evidence, const ts_evidence_count_t *count,
+                      ts_time_us_t now_us)
 {
     if (evidence->slot_us == 0 || now_us - evidence->slot_us >= SLOT_US) {
         evidence->slot_us = now_us;
@@ -92,7 +92,7 @@
     evidence->sums.answers += count->answers;
     evidence->sums.failures += count->failures;
     if (count->timed > 0)
-        note_times(evidence, count, now_us);
+        add_times(evidence, count, now_us);
 }
 
 void ts_evidence_set(ts_evidence_t *evidence, const ts_evidence_sums_t *sums, ts_time_us_t now_us)
@@ -118,5 +118,6 @@
 
 bool ts_evidence_is_unusual(const ts_evidence_sums_t *sums)
 {
-    return ts_evidence_failing(sums) > USUAL_FAILING || ts_evidence_slowness(sums) > USUAL_SLOWNESS;
+    return ts_evidence_failing(sums) > ANOMALOUS_FAILURE_RATE ||
+           ts_evidence_slowness(sums) > ANOMALOUS_LATENCY_RATIO;
 }
--- a/src/route/policy_adaptive.c
+++ b/src/route/policy_adaptive.c
@@ -1,47 +1,50 @@
 /**
- * The product's policy. Replicas are ranked by expected finish from what their owners said with
- * the last replies and from what this front has out itself; hedges start at the quantile that the
- * budget can pay for; waiting ends by the selector's rule.
+ * The default policy. Selects the replica with the earliest expected finish, from the load that
+ * owners reported with their last replies and the subrequests in flight from this front. Hedges are
+ * sent at the latency quantile that fits the hedge budget. Waiting ends by the selector's wait
+ * rule.
  */
 #include "tealspar/route.h"
 
 #include <math.h>
 
-/* A hint fades: after this age the owner's load is assumed to have halved. */
-#define HINT_HALF_LIFE_US 50000.0
+/* A reported load is assumed to have halved after this time. */
+#define LOAD_HALF_LIFE_US 50000.0
 #define DEFAULT_SERVICE_US 2000.0
-#define OTHER_ZONE_US 2000.0
-/* Costs that outrank any load but leave the replica as a last resort. */
-#define OTHER_SNAPSHOT_US 200000.0
-#define AVOID_US 10000000.0
-#define TRIED_US 100000000.0
-/* Ties are broken at random within this part of the score. */
+#define OTHER_ZONE_COST_US 2000.0
+/* Penalties that outweigh any load but keep the replica available as a last resort. */
+#define OTHER_SNAPSHOT_COST_US 200000.0
+#define AVOID_COST_US 10000000.0
+#define TRIED_COST_US 100000000.0
+/* Random increase of a score, as a share of it, to break ties. */
 #define JITTER 0.05
 #define RANDOM_SCALE 18446744073709551616.0
 
-#define HEDGE_LEAST_QUANTILE 0.95
-#define HEDGE_LEAST_SAMPLES 64
-#define HEDGE_FALLBACK_PART 4
-/* A hedge below this age would only double fast requests. */
-#define HEDGE_LEAST_US 1000
+#define HEDGE_MIN_QUANTILE 0.95
+#define HEDGE_MIN_SAMPLES 64
+/* With fewer samples the hedge is sent after this fraction of the deadline. */
+#define HEDGE_FALLBACK_DIVISOR 4
+/* Earlier hedges would only duplicate fast requests. */
+#define HEDGE_MIN_US 1000
 #define PERCENT 100.0
-/* 'gain': past this quantile of the kind's latency, the shards left are stragglers. */
+/* Wait rule 'gain': past this latency quantile the remaining shards are stragglers. The wait ends
+ * at the quantile times this factor. */
 #define GAIN_QUANTILE 0.99
-#define GAIN_PATIENCE 2.0
+#define GAIN_WAIT_FACTOR 2.0
 
 static double score_candidate(const ts_candidate_t *candidate, uint64_t wanted_snapshot)
 {
     double service = candidate->service_us > 0 ? candidate->service_us : DEFAULT_SERVICE_US;
-    double fading = exp2(-(double)candidate->hint_age_us / HINT_HALF_LIFE_US);
-    double remote_load = (candidate->slots_in_use + candidate->queue_length) * fading;
-    double ahead = fmax(remote_load, candidate->in_flight);
-    double score = service * (1.0 + ahead / (candidate->slots > 0 ? candidate->slots : 1));
-    score += candidate->same_zone ? 0 : OTHER_ZONE_US;
+    double decay = exp2(-(double)candidate->hint_age_us / LOAD_HALF_LIFE_US);
+    double remote_load = (candidate->slots_in_use + candidate->queue_length) * decay;
+    double load = fmax(remote_load, candidate->in_flight);
+    double score = service * (1.0 + load / (candidate->slots > 0 ? candidate->slots : 1));
+    score += candidate->same_zone ? 0 : OTHER_ZONE_COST_US;
     bool other_snapshot =
         wanted_snapshot != 0 && candidate->snapshot != 0 && candidate->snapshot != wanted_snapshot;
-    score += other_snapshot ? OTHER_SNAPSHOT_US : 0;
-    score += candidate->avoid ? AVOID_US : 0;
-    score += candidate->tried ? TRIED_US : 0;
+    score += other_snapshot ? OTHER_SNAPSHOT_COST_US : 0;
+    score += candidate->avoid ? AVOID_COST_US : 0;
+    score += candidate->tried ? TRIED_COST_US : 0;
     return score;
 }
 
@@ -68,20 +71,20 @@
     if (selector->unrepeatable || selector->hedge_percent <= 0) {
         return TS_HEDGE_NEVER;
     }
-    if (input->latencies->total < HEDGE_LEAST_SAMPLES) {
-        return input->deadline_span_us / HEDGE_FALLBACK_PART;
+    if (input->latencies->total < HEDGE_MIN_SAMPLES) {
+        return input->deadline_span_us / HEDGE_FALLBACK_DIVISOR;
     }
-    double quantile = fmax(HEDGE_LEAST_QUANTILE, 1.0 - selector->hedge_percent / PERCENT);
+    double quantile = fmax(HEDGE_MIN_QUANTILE, 1.0 - selector->hedge_percent / PERCENT);
     ts_time_us_t after = ts_histogram_quantile(input->latencies, quantile);
-    return after < HEDGE_LEAST_US ? HEDGE_LEAST_US : after;
+    return after < HEDGE_MIN_US ? HEDGE_MIN_US : after;
 }
 
 static ts_time_us_t gain_wait(const ts_stop_input_t *input)
 {
-    if (input->latencies->total < HEDGE_LEAST_SAMPLES) {
+    if (input->latencies->total < HEDGE_MIN_SAMPLES) {
         return input->deadline_span_us;
     }
-    double wait = GAIN_PATIENCE * (double)ts_histogram_quantile(input->latencies, GAIN_QUANTILE);
+    double wait = GAIN_WAIT_FACTOR * (double)ts_histogram_quantile(input->latencies, GAIN_QUANTILE);
     return wait < (double)input->deadline_span_us ? (ts_time_us_t)wait : input->deadline_span_us;
 }
 
@@ -91,8 +94,8 @@
     if (common != TS_STOP_WAIT) {
         return common;
     }
-    uint32_t least = ts_route_least_shards(input->selector, input->shards);
-    if (input->selector->wait == TS_WAIT_DEADLINE || input->covered < least) {
+    uint32_t shards_min = ts_route_least_shards(input->selector, input->shards);
+    if (input->selector->wait == TS_WAIT_DEADLINE || input->covered < shards_min) {
         return TS_STOP_WAIT;
     }
     if (input->selector->wait == TS_WAIT_COVERAGE) {
--- a/src/route/policy_baselines.c
+++ b/src/route/policy_baselines.c
@@ -1,4 +1,4 @@
-/** Baselines that the product's policy is measured against; never the default. */
+/** Baseline policies for comparison with the adaptive one; never the default. */
 #include "tealspar/route.h"
 
 #define FIXED_HEDGE_US 20000
@@ -6,17 +6,17 @@
 
 static int choose_random(const ts_choice_input_t *input)
 {
-    size_t fresh[CANDIDATES_MAX];
-    size_t fresh_count = 0;
-    for (size_t i = 0; i < input->count && fresh_count < CANDIDATES_MAX; i++) {
+    size_t untried[CANDIDATES_MAX];
+    size_t untried_count = 0;
+    for (size_t i = 0; i < input->count && untried_count < CANDIDATES_MAX; i++) {
         if (!input->candidates[i].tried) {
-            fresh[fresh_count++] = i;
+            untried[untried_count++] = i;
         }
     }
-    if (fresh_count == 0) {
+    if (untried_count == 0) {
         return TS_CHOOSE_NONE;
     }
-    return (int)fresh[(input->random >> 32) % fresh_count];
+    return (int)untried[(input->random >> 32) % untried_count];
 }
 
 static ts_time_us_t never_hedge(const ts_hedge_input_t *input)
--- a/src/route/quantile.c
+++ b/src/route/quantile.c
@@ -1,7 +1,7 @@
-/** A running quantile. */
+/** Running estimate of a quantile. */
 #include "tealspar/quantile.h"
 
-/* Relative step: large while few values were seen, then small. */
+/* Relative step size: starts large and falls with the number of values to a constant. */
 #define STEP_FIRST 0.3
 #define STEP_LAST 0.03
 
--- a/src/route/quarantine.c
+++ b/src/route/quarantine.c
@@ -1,4 +1,4 @@
-/** The quarantine: entries, their states, and how what other nodes told is merged. */
+/** Quarantine table: entries, their states, and the merge of rows from other nodes. */
 #include "tealspar/quarantine.h"
 
 #include <glib.h>
@@ -9,22 +9,23 @@
 #include "tealspar/log.h"
 
 /*
- * Back ends that end under lone sends until a request is held. Two: one alone may have ended for
- * another request aboard, and each more is one that a fatal request takes along.
+ * Strikes after which a request is quarantined. A single crash may have been caused by another
+ * request at the same backend; each further strike costs another backend if the request is fatal.
  */
-#define STRIKES_HELD 2U
-/* It is held for so long after the last strike, and twice as long after each further one. */
-#define HELD_US (600 * TS_US_PER_S)
-#define HELD_DOUBLINGS_MAX 3U
-/* What was suspected, or has been held for long enough, is forgotten after this. */
-#define SUSPECT_KEPT_US (600 * TS_US_PER_S)
-/* That it was cleared is remembered while rows from before may still be on their way. */
-#define CLEARED_KEPT_US (30 * TS_US_PER_S)
-/* A trial that tells nothing counts as over after this: its node has gone, or is held up. */
-#define TRIAL_MAX_US (2 * TS_US_PER_S)
-/* Entries of each kind; a full table takes 759 kB (bench_quarantine). */
+#define QUARANTINE_MIN_STRIKES 2U
+/* Length of a quarantine from the last strike; it doubles with each further strike. */
+#define QUARANTINE_US (600 * TS_US_PER_S)
+#define QUARANTINE_DOUBLINGS_MAX 3U
+/* Suspects expire after this time, and quarantined entries this long after their quarantine. */
+#define SUSPECT_EXPIRY_US (600 * TS_US_PER_S)
+/* Cleared entries are kept while older rows may still arrive from other nodes. */
+#define CLEARED_EXPIRY_US (30 * TS_US_PER_S)
+/* A trial without outcome counts as ended after this time: its node is gone or stalled. */
+#define TRIAL_TIMEOUT_US (2 * TS_US_PER_S)
+/* Limits of entries that are not quarantined, and of quarantined ones; a full table takes 759 kB
+ * (bench_quarantine). */
 #define SUSPECTS_MAX 1024U
-#define HELD_MAX 1024U
+#define QUARANTINED_MAX 1024U
 #define SERVICE_NAME_MAX 256U
 
 typedef struct entry {
@@ -34,16 +35,16 @@
     uint32_t trials_begun;
     uint32_t trials_ended;
     bool is_cleared;
-    bool is_held;            /* counted among those; ends at held_until_us */
+    bool is_quarantined;     /* remains set after the quarantine has ended, see is_quarantined() */
     ts_time_us_t changed_us; /* when `strikes` or `is_cleared` last changed */
-    ts_time_us_t trial_us;   /* when the last trial began, as heard here */
-    ts_time_us_t struck_us;  /* when the last strike became known here */
+    ts_time_us_t trial_us;   /* when this node learned of the last trial */
+    ts_time_us_t struck_us;  /* when this node learned of the last strike */
     char *service;
 } entry_t;
 
 struct ts_quarantine {
-    GHashTable *entries; /* digest -> entry_t, owned */
-    unsigned held;
+    GHashTable *entries;  /* digest -> entry_t, owned */
+    unsigned quarantined; /* entries with `is_quarantined` set */
     ts_quarantine_tell_t tell;
     void *tell_ctx;
 };
@@ -87,36 +88,36 @@
 
 // -- States
 
-static ts_time_us_t held_span_us(const entry_t *entry)
+static ts_time_us_t quarantine_span_us(const entry_t *entry)
 {
-    return HELD_US << MIN(entry->strikes - STRIKES_HELD, HELD_DOUBLINGS_MAX);
+    return QUARANTINE_US << MIN(entry->strikes - QUARANTINE_MIN_STRIKES, QUARANTINE_DOUBLINGS_MAX);
 }
 
-static bool is_held(const entry_t *entry, ts_time_us_t now_us)
+static bool is_quarantined(const entry_t *entry, ts_time_us_t now_us)
 {
-    return entry->is_held && now_us - entry->changed_us < held_span_us(entry);
+    return entry->is_quarantined && now_us - entry->changed_us < quarantine_span_us(entry);
 }
 
 static bool is_on_trial(const entry_t *entry, ts_time_us_t now_us)
 {
-    return entry->trials_begun > entry->trials_ended && now_us - entry->trial_us < TRIAL_MAX_US;
+    return entry->trials_begun > entry->trials_ended && now_us - entry->trial_us < TRIAL_TIMEOUT_US;
 }
 
 static ts_quarantine_state_t state_of(const entry_t *entry, ts_time_us_t now_us)
 {
     if (entry->is_cleared)
         return TS_QUARANTINE_CLEAR;
-    if (is_held(entry, now_us))
+    if (is_quarantined(entry, now_us))
         return TS_QUARANTINE_HELD;
     return is_on_trial(entry, now_us) ? TS_QUARANTINE_TRIAL : TS_QUARANTINE_SUSPECT;
 }
 
-static bool is_over(const entry_t *entry, ts_time_us_t now_us)
+static bool is_expired(const entry_t *entry, ts_time_us_t now_us)
 {
     ts_time_us_t age_us = now_us - entry->changed_us;
     if (entry->is_cleared)
-        return age_us > CLEARED_KEPT_US;
-    return age_us > SUSPECT_KEPT_US + (entry->is_held ? held_span_us(entry) : 0);
+        return age_us > CLEARED_EXPIRY_US;
+    return age_us > SUSPECT_EXPIRY_US + (entry->is_quarantined ? quarantine_span_us(entry) : 0);
 }
 
 ts_quarantine_state_t ts_quarantine_find(const ts_quarantine_t *quarantine,
@@ -149,14 +150,15 @@
     };
 }
 
-static void tell(const ts_quarantine_t *quarantine, const entry_t *entry, ts_time_us_t now_us)
+static void publish(const ts_quarantine_t *quarantine, const entry_t *entry, ts_time_us_t now_us)
 {
     ts_quarantine_row_t row = row_of(entry, now_us);
     if (quarantine->tell != NULL)
         quarantine->tell(quarantine->tell_ctx, &row);
 }
 
-/* What is held is told to operators each time; suspects may be many, and are details. */
+/* Logs a state change. The event of quarantined requests has a higher level than that of suspects,
+ * which may be numerous. */
 static void log_state(const entry_t *entry, ts_event_t event, const char *state, const char *source)
 {
     char digest[TS_REQUEST_DIGEST_TEXT];
@@ -165,25 +167,25 @@
            entry->service, entry->strikes, source);
 }
 
-/* The one place where an entry becomes held; none is pushed out for it. */
-static void hold_if_due(ts_quarantine_t *quarantine, entry_t *entry, const char *source)
+/* Quarantines an entry with enough strikes, unless the limit is reached; evicts no other entry. */
+static void quarantine_if_due(ts_quarantine_t *quarantine, entry_t *entry, const char *source)
 {
-    if (entry->is_held || entry->is_cleared || entry->strikes < STRIKES_HELD)
+    if (entry->is_quarantined || entry->is_cleared || entry->strikes < QUARANTINE_MIN_STRIKES)
         return;
-    if (quarantine->held >= HELD_MAX) {
+    if (quarantine->quarantined >= QUARANTINED_MAX) {
         ts_count(TS_COUNTER_QUARANTINE_FULL, 1);
         return;
     }
-    entry->is_held = true;
-    quarantine->held++;
+    entry->is_quarantined = true;
+    quarantine->quarantined++;
     ts_count(TS_COUNTER_QUARANTINE_HELD, 1);
     log_state(entry, TS_EVENT_QUARANTINE_STATE, "held", source);
 }
 
 static void release(ts_quarantine_t *quarantine, entry_t *entry)
 {
-    quarantine->held -= entry->is_held;
-    entry->is_held = false;
+    quarantine->quarantined -= entry->is_quarantined;
+    entry->is_quarantined = false;
 }
 
 static void remove_entry(ts_quarantine_t *quarantine, entry_t *entry)
@@ -192,17 +194,17 @@
     g_hash_table_remove(quarantine->entries, &entry->digest);
 }
 
-static void make_room(ts_quarantine_t *quarantine)
+static void evict_if_full(ts_quarantine_t *quarantine)
 {
     entry_t *oldest = NULL;
     GHashTableIter iterator;
     gpointer value = NULL;
-    if (g_hash_table_size(quarantine->entries) - quarantine->held < SUSPECTS_MAX)
+    if (g_hash_table_size(quarantine->entries) - quarantine->quarantined < SUSPECTS_MAX)
         return;
     g_hash_table_iter_init(&iterator, quarantine->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         entry_t *entry = value;
-        if (!entry->is_held && (oldest == NULL || entry->changed_us < oldest->changed_us))
+        if (!entry->is_quarantined && (oldest == NULL || entry->changed_us < oldest->changed_us))
             oldest = entry;
     }
     if (oldest == NULL)
@@ -214,7 +216,7 @@
 static entry_t *add_entry(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                           const char *service, ts_time_us_t now_us)
 {
-    make_room(quarantine);
+    evict_if_full(quarantine);
     entry_t *entry = g_new0(entry_t, 1);
     entry->digest = *digest;
     entry->changed_us = now_us;
@@ -231,9 +233,9 @@
     entry->service = g_strndup(service, SERVICE_NAME_MAX);
 }
 
-/* The entry of a request that something speaks against now; a new epoch if it was cleared. */
-static entry_t *blame(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
-                      const char *service, ts_time_us_t now_us)
+/* Finds or creates the entry of a suspected request; starts a new epoch if it was cleared. */
+static entry_t *mark_suspect(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
+                             const char *service, ts_time_us_t now_us)
 {
     entry_t *entry = find(quarantine, digest);
     bool is_new = entry == NULL || entry->is_cleared;
@@ -257,14 +259,14 @@
                            const char *service, ts_time_us_t now_us)
 {
     if (ts_quarantine_find(quarantine, digest, now_us) == TS_QUARANTINE_HELD)
-        return; // a send from before: the verdict stands
-    tell(quarantine, blame(quarantine, digest, service, now_us), now_us);
+        return; // sent before the request was quarantined
+    publish(quarantine, mark_suspect(quarantine, digest, service, now_us), now_us);
 }
 
 void ts_quarantine_strike(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                           const char *service, ts_time_us_t sent_us, ts_time_us_t now_us)
 {
-    entry_t *entry = blame(quarantine, digest, service, now_us);
+    entry_t *entry = mark_suspect(quarantine, digest, service, now_us);
     bool is_independent = entry->strikes == 0 || sent_us >= entry->struck_us;
     entry->trials_ended = entry->trials_begun;
     if (is_independent) {
@@ -272,8 +274,8 @@
         entry->struck_us = now_us;
         ts_count(TS_COUNTER_QUARANTINE_STRIKES, 1);
     }
-    hold_if_due(quarantine, entry, "own");
-    tell(quarantine, entry, now_us);
+    quarantine_if_due(quarantine, entry, "own");
+    publish(quarantine, entry, now_us);
 }
 
 void ts_quarantine_clear(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
@@ -282,14 +284,14 @@
     entry_t *entry = find(quarantine, digest);
     if (entry == NULL || entry->is_cleared || strcmp(entry->service, service) != 0)
         return;
-    bool was_held = entry->is_held;
+    bool was_quarantined = entry->is_quarantined;
     release(quarantine, entry);
     entry->is_cleared = true;
     entry->changed_us = now_us;
     ts_count(TS_COUNTER_QUARANTINE_CLEARED, 1);
-    log_state(entry, was_held ? TS_EVENT_QUARANTINE_STATE : TS_EVENT_QUARANTINE_SUSPECT, "cleared",
-              "own");
-    tell(quarantine, entry, now_us);
+    log_state(entry, was_quarantined ? TS_EVENT_QUARANTINE_STATE : TS_EVENT_QUARANTINE_SUSPECT,
+              "cleared", "own");
+    publish(quarantine, entry, now_us);
 }
 
 void ts_quarantine_begin_trial(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
@@ -301,7 +303,7 @@
     entry->trials_begun = MAX(entry->trials_begun, entry->trials_ended) + 1;
     entry->trial_us = now_us;
     ts_count(TS_COUNTER_QUARANTINE_TRIALS, 1);
-    tell(quarantine, entry, now_us);
+    publish(quarantine, entry, now_us);
 }
 
 void ts_quarantine_end_trial(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
@@ -311,20 +313,20 @@
     if (entry == NULL || entry->trials_ended >= entry->trials_begun)
         return;
     entry->trials_ended = entry->trials_begun;
-    tell(quarantine, entry, now_us);
+    publish(quarantine, entry, now_us);
 }
 
 // -- Merging
 
-/* Whether the row stands above the entry: of a later epoch, or cleared in the same. */
-static bool is_above(const ts_quarantine_row_t *row, const entry_t *entry)
+/* Whether the row supersedes the entry: a later epoch, or cleared in the same epoch. */
+static bool supersedes(const ts_quarantine_row_t *row, const entry_t *entry)
 {
     if (row->epoch != entry->epoch)
         return row->epoch > entry->epoch;
     return row->is_cleared && !entry->is_cleared;
 }
 
-static bool is_below(const ts_quarantine_row_t *row, const entry_t *entry)
+static bool is_superseded(const ts_quarantine_row_t *row, const entry_t *entry)
 {
     if (row->epoch != entry->epoch)
         return row->epoch < entry->epoch;
@@ -337,11 +339,11 @@
     return age_us < now_us ? now_us - age_us : 0;
 }
 
-/* Takes what the row has more of; returns whether that was something. */
-static bool take_counts(entry_t *entry, const ts_quarantine_row_t *row, ts_time_us_t now_us)
+/* Raises the entry's counts to those of the row; returns whether any was raised. */
+static bool merge_counts(entry_t *entry, const ts_quarantine_row_t *row, ts_time_us_t now_us)
 {
-    bool is_news = row->strikes > entry->strikes || row->trials_begun > entry->trials_begun ||
-                   row->trials_ended > entry->trials_ended;
+    bool is_changed = row->strikes > entry->strikes || row->trials_begun > entry->trials_begun ||
+                      row->trials_ended > entry->trials_ended;
     if (row->strikes > entry->strikes) {
         entry->changed_us = changed_at(row, now_us);
         entry->struck_us = now_us;
@@ -352,11 +354,11 @@
     entry->strikes = MAX(entry->strikes, row->strikes);
     entry->trials_begun = MAX(entry->trials_begun, row->trials_begun);
     entry->trials_ended = MAX(entry->trials_ended, row->trials_ended);
-    return is_news;
+    return is_changed;
 }
 
-static void take_whole(ts_quarantine_t *quarantine, entry_t *entry, const ts_quarantine_row_t *row,
-                       ts_time_us_t now_us)
+static void replace_entry(ts_quarantine_t *quarantine, entry_t *entry,
+                          const ts_quarantine_row_t *row, ts_time_us_t now_us)
 {
     release(quarantine, entry);
     entry->epoch = row->epoch;
@@ -364,7 +366,7 @@
     entry->strikes = entry->trials_begun = entry->trials_ended = 0;
     entry->changed_us = changed_at(row, now_us);
     set_service(entry, row->service);
-    (void)take_counts(entry, row, now_us);
+    (void)merge_counts(entry, row, now_us);
 }
 
 bool ts_quarantine_merge(ts_quarantine_t *quarantine, const ts_quarantine_row_t *row,
@@ -374,19 +376,19 @@
     bool is_new = entry == NULL;
     if (is_new)
         entry = add_entry(quarantine, &row->digest, row->service, changed_at(row, now_us));
-    if (!is_new && is_below(row, entry))
+    if (!is_new && is_superseded(row, entry))
         return false;
-    bool is_news = true;
-    if (is_new || is_above(row, entry))
-        take_whole(quarantine, entry, row, now_us);
+    bool is_changed = true;
+    if (is_new || supersedes(row, entry))
+        replace_entry(quarantine, entry, row, now_us);
     else
-        is_news = take_counts(entry, row, now_us);
-    hold_if_due(quarantine, entry, "peer");
-    if (is_over(entry, now_us)) {
+        is_changed = merge_counts(entry, row, now_us);
+    quarantine_if_due(quarantine, entry, "peer");
+    if (is_expired(entry, now_us)) {
         remove_entry(quarantine, entry);
         return false;
     }
-    return is_news;
+    return is_changed;
 }
 
 // -- All entries
@@ -397,11 +399,11 @@
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, quarantine->entries);
-    while (quarantine->held > 0 && g_hash_table_iter_next(&iterator, NULL, &value)) {
+    while (quarantine->quarantined > 0 && g_hash_table_iter_next(&iterator, NULL, &value)) {
         const entry_t *entry = value;
         uint64_t digest;
         memcpy(&digest, entry->digest.bytes, sizeof(digest));
-        if (is_held(entry, now_us))
+        if (is_quarantined(entry, now_us))
             sum ^= ts_hash_mix(digest, ((uint64_t)entry->epoch << 32) + entry->strikes);
     }
     return sum;
@@ -411,8 +413,8 @@
 {
     const entry_t *a = *(entry_t *const *)left;
     const entry_t *b = *(entry_t *const *)right;
-    if (a->is_held != b->is_held)
-        return a->is_held ? -1 : 1;
+    if (a->is_quarantined != b->is_quarantined)
+        return a->is_quarantined ? -1 : 1;
     return (a->changed_us < b->changed_us) - (a->changed_us > b->changed_us);
 }
 
@@ -426,7 +428,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value))
         g_ptr_array_add(order, value);
     g_ptr_array_sort(order, compare_entries);
-    for (guint i = 0; i < order->len && i < quarantine->held + suspects_max; i++) {
+    for (guint i = 0; i < order->len && i < quarantine->quarantined + suspects_max; i++) {
         ts_quarantine_row_t row = row_of(g_ptr_array_index(order, i), now_us);
         if (!visit(ctx, &row))
             break;
@@ -440,7 +442,7 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, quarantine->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        if (!is_over(value, now_us))
+        if (!is_expired(value, now_us))
             continue;
         release(quarantine, value);
         g_hash_table_iter_remove(&iterator);
--- a/src/route/rate_limiter.c
+++ b/src/route/rate_limiter.c
@@ -1,4 +1,4 @@
-/** Rates that the whole fleet keeps together: leases, accounts, and who is asked. */
+/** Fleet-wide rate limits: accounts, leases and the exchange of claims and grants. */
 #include "tealspar/rate_limiter.h"
 
 #include <math.h>
@@ -6,59 +6,59 @@
 
 #include "tealspar/hash.h"
 
-/* A lease that nobody used for so long is forgotten, and so is an account nobody asked for. */
-#define LEASE_KEPT_US (90 * TS_US_PER_S)
-#define ACCOUNT_KEPT_US (60 * TS_US_PER_S)
-/* Asks of a zone's nodes that wait for the home's answer: so many at a deputy, and so long. */
+/* Idle time after which a lease, and an account that gets no claims, is dropped. */
+#define LEASE_IDLE_US (90 * TS_US_PER_S)
+#define ACCOUNT_IDLE_US (60 * TS_US_PER_S)
+/* Claims queued at a deputy until the home answers: their number, and how long each is kept. */
 #define QUEUE_MAX 256U
 #define QUEUED_US (300 * TS_US_PER_MS)
-/* An account is within its limit again when nothing was refused for so long; for the log. */
+/* For the log, an account is within its limit again after this time without a refusal. */
 #define WITHIN_US (5 * TS_US_PER_S)
-/* What a deputy deals is void after this at the latest, before its own tokens would be. */
+/* Validity of tokens granted by a deputy, shorter than that of the deputy's own tokens. */
 #define DEPUTY_VALID_US (1 * TS_US_PER_S)
 
-/* Who holds a right of this deputy and is not heard for so long is taken to spend by it, until it
- * is void; as at the home (rate_account.c). */
-#define UNHEARD_US (1 * TS_US_PER_S)
-#define RIGHT_KEPT_US (12 * TS_US_PER_S)
-/* Of the tolerance: what nodes together may spend before they have found a dealer. A node that has
- * just begun may do so together with all others: then nobody deals, and it is a part of all that a
- * window allows. */
+/* A node with a fallback rate from this deputy that is silent for this long is assumed to spend it,
+ * until it expires; as at the home (rate_account.c). */
+#define SILENT_US (1 * TS_US_PER_S)
+#define FALLBACK_TIMEOUT_US (12 * TS_US_PER_S)
+/* Share of the tolerance that all nodes together may spend before an issuer has answered. For a
+ * node that has just started it is a share of all tokens per window: all nodes may be starting at
+ * once, while no node grants any. */
 #define FIRST_SHARE 0.25
-#define FIRST_YOUNG_SHARE 0.5
-#define YOUNG_US (2 * TS_US_PER_S)
-/* What it said that it uses counts for so long: it may ask another deputy by now. */
-#define USED_KEPT_US (3 * TS_US_PER_S)
+#define FIRST_STARTING_SHARE 0.5
+#define STARTING_US (2 * TS_US_PER_S)
+/* How long a node's request rate counts; it may send its claims to another deputy by then. */
+#define REQUEST_RATE_VALID_US (3 * TS_US_PER_S)
 
-/* What a deputy knows of a node of its zone. */
+/* State of a node of the zone, at its deputy. */
 typedef struct debtor {
-    uint32_t spent_alone;  /* total that it told last */
-    double used;           /* tokens a second that it told */
-    double right;          /* tokens a second that it may spend by itself, of the deputy's, */
-    double foreign;        /* and that it was given by another dealer and lends to this one */
-    uint64_t foreign_from; /* that dealer */
+    uint32_t spent_alone;  /* total spent on its own, by its latest claim */
+    double used;           /* requests per second, by its latest claim */
+    double right;          /* its fallback rate, as far as assigned by this deputy */
+    double foreign;        /* its fallback rate, as far as assigned by another issuer */
+    uint64_t foreign_from; /* that issuer */
     ts_rate_allowance_t allowance;
-    double assumed; /* told on as spent since it was last heard */
-    bool is_alone;  /* it said that it spends by its right now */
-    ts_time_us_t heard_us;
+    double assumed;        /* tokens assumed spent since its latest claim, reported to the home */
+    bool is_alone;         /* its fallback rate is not lent to this deputy, by its latest claim */
+    ts_time_us_t heard_us; /* when its latest claim arrived */
 } debtor_t;
 
-/* An ask of another node that a deputy could not answer yet. */
-typedef struct queued_ask {
+/* A claim that a deputy cannot answer yet. */
+typedef struct queued_claim {
     char *address;
     uint64_t node;
     uint32_t ask;
-    unsigned lacking;
+    unsigned missing; /* tokens */
     ts_time_us_t at_us;
-} queued_ask_t;
+} queued_claim_t;
 
 typedef struct held_lease {
     ts_rate_lease_t lease;
     char *account;
-    GArray *queue;       /* of queued_ask_t; NULL: nothing has waited yet */
-    GHashTable *debtors; /* node -> debtor_t, owned; NULL: none asked */
-    char *lent_address;  /* of the dealer that the right is lent to; NULL: none yet, or this node */
-    double owed;         /* spent by debtors and not yet told on; below 0: told too much so far */
+    GArray *queue;       /* of queued_claim_t; NULL: none so far */
+    GHashTable *debtors; /* node -> debtor_t, owned; NULL: none so far */
+    char *lent_address;  /* issuer that the fallback rate is lent to; NULL: none, or this node */
+    double owed;         /* spent by debtors but not yet reported; negative: reported too much */
 } held_lease_t;
 
 struct ts_rate_limiter {
@@ -72,7 +72,7 @@
 
 static void clear_queued(gpointer data)
 {
-    g_free(((queued_ask_t *)data)->address);
+    g_free(((queued_claim_t *)data)->address);
 }
 
 static void free_lease(gpointer data)
@@ -133,9 +133,9 @@
     return account;
 }
 
-/* Deals as the home; false, and nothing dealt, if the ask has come before. */
-static bool deal_as_home(ts_rate_limiter_t *limiter, uint64_t node, uint64_t address,
-                         const ts_rate_terms_t *terms, ts_rate_row_t *row, ts_time_us_t now_us)
+/* Answers a claim as the home; returns false and does nothing if the claim is a duplicate. */
+static bool grant_as_home(ts_rate_limiter_t *limiter, uint64_t node, uint64_t address,
+                          const ts_rate_terms_t *terms, ts_rate_row_t *row, ts_time_us_t now_us)
 {
     ts_rate_claim_t claim = {.node = node,
                              .address = address,
@@ -159,11 +159,11 @@
 }
 
 /*
- * Whether this node is not home of an account now, for certain. Where nobody is, by its view,
- * another one may be: an account that was kept would deal what came in meanwhile beside what that
- * one dealt.
+ * Whether this node is not the home of an account. This includes accounts without a known home, as
+ * another node may be home: if the account were kept, it would later grant the tokens that accrued
+ * meanwhile, although the other home has granted them too.
  */
-static gboolean is_foreign(gpointer name, gpointer account, gpointer ctx)
+static gboolean is_not_home(gpointer name, gpointer account, gpointer ctx)
 {
     return !is_home(ctx, name);
 }
@@ -177,14 +177,14 @@
         standing->rested_us = now_us - since_us;
         standing->lost_us = now_us;
     }
-    g_hash_table_foreach_remove(limiter->accounts, is_foreign, limiter);
+    g_hash_table_foreach_remove(limiter->accounts, is_not_home, limiter);
 }
 
 // -- Leases
 
 /*
- * Tokens of an account that a node spends before it has found a dealer: one at so many nodes that
- * a share isn't passed if all of them do, drawn by their hashes.
+ * Tokens of an account that a node may spend before an issuer has answered. One token goes to as
+ * many nodes as the shares defined above allow, selected by hash.
  */
 static double first_tokens(const ts_rate_limiter_t *limiter, const char *account,
                            ts_time_us_t now_us)
@@ -194,10 +194,10 @@
         return 0;
     double draw = (double)ts_hash_mix(limiter->node, ts_hash_text(account)) / (double)UINT64_MAX;
     double nodes = limiter->ops->nodes(limiter->ctx);
-    double all = FIRST_SHARE * terms.tolerance;
-    if (now_us - limiter->standing.begun_us < YOUNG_US)
-        all = MAX(all, FIRST_YOUNG_SHARE * (terms.limit + terms.tolerance));
-    return draw * nodes < all ? 1 : 0;
+    double tokens = FIRST_SHARE * terms.tolerance;
+    if (now_us - limiter->standing.begun_us < STARTING_US)
+        tokens = MAX(tokens, FIRST_STARTING_SHARE * (terms.limit + terms.tolerance));
+    return draw * nodes < tokens ? 1 : 0;
 }
 
 static held_lease_t *find_lease(ts_rate_limiter_t *limiter, const char *account,
@@ -213,21 +213,21 @@
     return held;
 }
 
-/* Notes whether the limit is reached, and tells a change. */
-static void note_over(ts_rate_limiter_t *limiter, held_lease_t *held, const ts_rate_terms_t *terms,
-                      bool is_over, ts_time_us_t now_us)
+/* Records whether the limit is reached, and reports a change. */
+static void update_limit_state(ts_rate_limiter_t *limiter, held_lease_t *held,
+                               const ts_rate_terms_t *terms, bool is_over, ts_time_us_t now_us)
 {
-    bool has_rested = now_us - held->lease.refused_us > WITHIN_US;
+    bool is_settled = now_us - held->lease.refused_us > WITHIN_US;
     if (is_over)
         held->lease.refused_us = now_us;
-    if (held->lease.was_over == is_over || (!is_over && !has_rested))
+    if (held->lease.was_over == is_over || (!is_over && !is_settled))
         return;
     held->lease.was_over = is_over;
     limiter->ops->changed(limiter->ctx, held->account, terms, is_over);
 }
 
-/* Debtors' spending is told on to the home as this node's own, in whole tokens. */
-static void owe(held_lease_t *held, double tokens)
+/* Adds spending of debtors to the total that is reported to the home, in whole tokens. */
+static void add_owed(held_lease_t *held, double tokens)
 {
     held->owed += tokens;
     double whole = MAX(floor(held->owed), 0);
@@ -235,26 +235,26 @@
     held->owed -= whole;
 }
 
-/* A debtor that was not heard for a while is taken to spend by its right. */
-static void assume_debt(held_lease_t *held, debtor_t *debtor, ts_time_us_t now_us)
+/* Assumes that a silent debtor spends its fallback rate. */
+static void assume_spending(held_lease_t *held, debtor_t *debtor, ts_time_us_t now_us)
 {
-    if (!debtor->is_alone && now_us - debtor->heard_us < UNHEARD_US)
+    if (!debtor->is_alone && now_us - debtor->heard_us < SILENT_US)
         return;
     double spent = debtor->right * (double)(now_us - debtor->heard_us) / TS_US_PER_S;
     if (spent <= debtor->assumed)
-        return; // its right is void by now
-    owe(held, spent - debtor->assumed);
+        return; // the fallback rate has expired
+    add_owed(held, spent - debtor->assumed);
     debtor->assumed = spent;
 }
 
 typedef struct zone_sums {
-    double used;        /* tokens a second that the zone's nodes use */
-    double lent;        /* rights that others gave them and that they lend to this deputy */
-    double lent_one;    /* of these, what one of the others gave, */
-    uint64_t lent_from; /* that one */
+    double used;        /* requests per second */
+    double lent;        /* fallback rates assigned by other issuers and lent to this deputy */
+    double lent_one;    /* part of `lent` assigned by one of these issuers */
+    uint64_t lent_from; /* that issuer */
 } zone_sums_t;
 
-/* Looks over the zone's nodes: who is silent, what they use and hold. */
+/* Sums up the nodes of the zone, and assumes spending of silent ones. */
 static zone_sums_t sum_debtors(held_lease_t *held, ts_time_us_t now_us)
 {
     GHashTableIter iterator;
@@ -266,14 +266,14 @@
     g_hash_table_iter_init(&iterator, held->debtors);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         debtor_t *debtor = value;
-        assume_debt(held, debtor, now_us);
-        if (now_us - debtor->heard_us > RIGHT_KEPT_US)
-            debtor->right = 0; // it is kept, as what it has spent is told as a total
+        assume_spending(held, debtor, now_us);
+        if (now_us - debtor->heard_us > FALLBACK_TIMEOUT_US)
+            debtor->right = 0; // the entry stays: spending is reported as a running total
         held->lease.sublet += debtor->right;
-        bool is_there = now_us - debtor->heard_us < USED_KEPT_US;
-        sums.used += is_there ? debtor->used : 0;
-        bool is_heard = !debtor->is_alone && now_us - debtor->heard_us < UNHEARD_US;
-        if (!is_heard || debtor->foreign <= 0)
+        bool is_recent = now_us - debtor->heard_us < REQUEST_RATE_VALID_US;
+        sums.used += is_recent ? debtor->used : 0;
+        bool is_lent = !debtor->is_alone && now_us - debtor->heard_us < SILENT_US;
+        if (!is_lent || debtor->foreign <= 0)
             continue;
         sums.lent += debtor->foreign;
         if (sums.lent_from == 0)
@@ -285,10 +285,10 @@
 }
 
 /*
- * The dealer that this node asked until now is told that it asks another one. Else it would take
- * this node for cut off, and hold back or debit its right for as long as that may be spent alone.
+ * Notifies the previous issuer that this node now uses another one. Otherwise it would treat this
+ * node as cut off, and withhold or debit its fallback rate until that expires.
  */
-static void leave_dealer(ts_rate_limiter_t *limiter, const held_lease_t *held)
+static void leave_issuer(ts_rate_limiter_t *limiter, const held_lease_t *held)
 {
     const ts_rate_lease_t *lease = &held->lease;
     ts_rate_row_t row = {.account = held->account,
@@ -299,12 +299,12 @@
         limiter->ops->ask(limiter->ctx, held->lent_address, &row);
 }
 
-/* Lends the right to a dealer (`address` NULL: this node) with an ask that is about to leave. */
-static bool lend_right(ts_rate_limiter_t *limiter, held_lease_t *held, uint64_t id,
-                       const char *address, ts_time_us_t now_us)
+/* Lends the fallback rate to an issuer (`address` NULL: this node) with the claim to be sent. */
+static bool lend_fallback_rate(ts_rate_limiter_t *limiter, held_lease_t *held, uint64_t id,
+                               const char *address, ts_time_us_t now_us)
 {
     if (ts_rate_lease_is_lent_elsewhere(&held->lease, id, now_us))
-        leave_dealer(limiter, held);
+        leave_issuer(limiter, held);
     if (!ts_rate_lease_lend(&held->lease, id, now_us))
         return false;
     if (g_strcmp0(held->lent_address, address) != 0) {
@@ -315,10 +315,10 @@
 }
 
 /*
- * Asks for what a lease is short of: its deputy, or the home where this node is the deputy. Where
- * this node is the home it is answered at once.
+ * Sends a claim for a lease to the deputy, or to the home where this node is the deputy. Where this
+ * node is the home, it answers the claim itself.
  */
-static void ask_dealer(ts_rate_limiter_t *limiter, held_lease_t *held, const ts_rate_terms_t *terms,
+static void send_claim(ts_rate_limiter_t *limiter, held_lease_t *held, const ts_rate_terms_t *terms,
                        ts_time_us_t now_us)
 {
     const char *address = NULL;
@@ -339,8 +339,8 @@
     row.foreign = is_foreign ? right : zone.lent_one;
     row.foreign_from = is_foreign ? lease->right_from : zone.lent_from;
     const char *lent_address = dealer == TS_RATE_DEALER_PEER ? address : NULL;
-    row.is_alone =
-        dealer == TS_RATE_DEALER_NONE || !lend_right(limiter, held, id, lent_address, now_us);
+    row.is_alone = dealer == TS_RATE_DEALER_NONE ||
+                   !lend_fallback_rate(limiter, held, id, lent_address, now_us);
     row.has_moved = lease->has_moved;
     row.saved = ts_rate_lease_give_saved(lease, terms, now_us);
     row.ask = ts_rate_lease_note_ask(lease, row.wanted > row.in_hand, now_us);
@@ -348,21 +348,21 @@
     if (dealer == TS_RATE_DEALER_PEER) {
         limiter->ops->ask(limiter->ctx, address, &row);
     } else if (dealer == TS_RATE_DEALER_SELF &&
-               deal_as_home(limiter, limiter->node, id, terms, &row, now_us)) {
+               grant_as_home(limiter, limiter->node, id, terms, &row, now_us)) {
         ts_rate_lease_take_deal(lease, terms, row.ask, &row.deal, now_us);
     } else if (dealer == TS_RATE_DEALER_NONE) {
         ts_rate_lease_note_lost(lease, now_us);
     }
 }
 
-/* Asks if that is due: at once for what waits, else in the next turn. */
-static void ask_if_due(ts_rate_limiter_t *limiter, held_lease_t *held, const ts_rate_terms_t *terms,
-                       ts_time_us_t now_us)
+/* Sends a due claim: at once if a request waits for it, else on the next tick. */
+static void claim_if_due(ts_rate_limiter_t *limiter, held_lease_t *held,
+                         const ts_rate_terms_t *terms, ts_time_us_t now_us)
 {
     if (!ts_rate_lease_is_due(&held->lease, terms, now_us))
         return;
     if (held->lease.is_waited_for)
-        ask_dealer(limiter, held, terms, now_us);
+        send_claim(limiter, held, terms, now_us);
     else
         limiter->ops->wake(limiter->ctx);
 }
@@ -377,7 +377,7 @@
     held_lease_t *held = find_lease(limiter, account, now_us);
     held->lease.used_us = now_us;
     held->lease.is_deputy = true;
-    ask_if_due(limiter, held, &terms, now_us);
+    claim_if_due(limiter, held, &terms, now_us);
 }
 
 void ts_rate_limiter_note_request(ts_rate_limiter_t *limiter, const char *account,
@@ -396,11 +396,12 @@
         return TS_RATE_TAKEN;
     held_lease_t *held = find_lease(limiter, account, now_us);
     ts_rate_verdict_t verdict = ts_rate_lease_take(&held->lease, &terms, now_us);
-    ask_if_due(limiter, held, &terms, now_us);
+    claim_if_due(limiter, held, &terms, now_us);
     if (verdict == TS_RATE_WAITS)
-        verdict = ts_rate_lease_take(&held->lease, &terms, now_us); // this node may be the home
+        verdict =
+            ts_rate_lease_take(&held->lease, &terms, now_us); // succeeds if this node is the home
     if (verdict == TS_RATE_OVER || verdict == TS_RATE_TAKEN)
-        note_over(limiter, held, &terms, verdict == TS_RATE_OVER, now_us);
+        update_limit_state(limiter, held, &terms, verdict == TS_RATE_OVER, now_us);
     return verdict;
 }
 
@@ -418,75 +419,80 @@
     return held == NULL ? 0 : ts_rate_lease_wait_us(&held->lease, now_us);
 }
 
-// -- Deputy: asks of the zone's other nodes
+// -- Deputy: claims of the other nodes of the zone
 
-/* What a node of the zone may spend by itself: as it does, so far as this node's right goes. */
-static double grant(held_lease_t *held, uint64_t node, ts_time_us_t now_us)
+/*
+ * Assigns the fallback rate of a node of the zone: its part of this node's, in proportion to its
+ * request rate.
+ */
+static double assign_fallback_rate(held_lease_t *held, uint64_t node, ts_time_us_t now_us)
 {
     debtor_t *debtor = g_hash_table_lookup(held->debtors, &node);
     if (debtor == NULL || debtor->is_alone)
         return 0;
     zone_sums_t zone = sum_debtors(held, now_us);
-    double whole = ts_rate_lease_right(&held->lease, now_us);
-    double left = MAX(whole - (held->lease.sublet - debtor->right), 0);
+    double total = ts_rate_lease_right(&held->lease, now_us);
+    double left = MAX(total - (held->lease.sublet - debtor->right), 0);
     double used = MAX(zone.used + ts_rate_lease_asking(&held->lease, now_us), debtor->used);
-    double share = debtor->used > 0 ? whole * debtor->used / used : 0;
+    double share = debtor->used > 0 ? total * debtor->used / used : 0;
     double right = MIN(share, left);
     if (right < TS_RATE_RIGHT_LEAST)
         right = 0;
-    debtor->right = MAX(right, debtor->right); // it goes by the one before until it has this one
+    debtor->right = MAX(right, debtor->right); // it may use the previous one until it gets this
     return right;
 }
 
-/* Answers an ask out of the lease, unless the answer of this node's own ask is awaited. */
+/* Answers a claim from the lease; returns false if this node's own claim has to be answered first.
+ */
 static bool answer_from_lease(ts_rate_limiter_t *limiter, held_lease_t *held,
-                              const ts_rate_terms_t *terms, const queued_ask_t *queued,
+                              const ts_rate_terms_t *terms, const queued_claim_t *queued,
                               ts_time_us_t now_us)
 {
     ts_rate_row_t row = {.account = held->account, .ask = queued->ask, .deal.is_sublet = true};
     ts_rate_verdict_t verdict = TS_RATE_TAKEN;
-    if (queued->lacking > 0)
+    if (queued->missing > 0)
         verdict =
-            ts_rate_lease_take_for(&held->lease, terms, queued->lacking, &row.deal.tokens, now_us);
+            ts_rate_lease_take_for(&held->lease, terms, queued->missing, &row.deal.tokens, now_us);
     if (verdict == TS_RATE_WAITS)
         return false;
     row.deal.is_lost = verdict == TS_RATE_UNKNOWN;
-    row.deal.right = grant(held, queued->node, now_us);
+    row.deal.right = assign_fallback_rate(held, queued->node, now_us);
     row.deal.valid_us = DEPUTY_VALID_US;
     row.deal.wait_us = ts_rate_lease_wait_us(&held->lease, now_us);
     limiter->ops->answer(limiter->ctx, queued->address, &row);
     return true;
 }
 
-/* An ask that waits already is told anew: its sender awaits the answer to the latest only. */
-static void queue_ask(held_lease_t *held, const queued_ask_t *queued)
+/* Queues a claim. It replaces an earlier one of its sender, which expects an answer to the latest
+ * claim only. */
+static void queue_claim(held_lease_t *held, const queued_claim_t *queued)
 {
     if (held->queue == NULL) {
-        held->queue = g_array_new(FALSE, FALSE, sizeof(queued_ask_t));
+        held->queue = g_array_new(FALSE, FALSE, sizeof(queued_claim_t));
         g_array_set_clear_func(held->queue, clear_queued);
     }
     for (guint i = 0; i < held->queue->len; i++) {
-        queued_ask_t *other = &g_array_index(held->queue, queued_ask_t, i);
+        queued_claim_t *other = &g_array_index(held->queue, queued_claim_t, i);
         if (strcmp(other->address, queued->address) != 0)
             continue;
         other->ask = queued->ask;
-        other->lacking = queued->lacking;
+        other->missing = queued->missing;
         other->at_us = queued->at_us;
         return;
     }
     if (held->queue->len >= QUEUE_MAX)
-        return; // its sender asks again
-    queued_ask_t copy = *queued;
+        return; // the sender repeats the claim
+    queued_claim_t copy = *queued;
     copy.address = g_strdup(queued->address);
     g_array_append_val(held->queue, copy);
 }
 
-/* Answers what waits, in the order in which it came, as far as that goes. */
+/* Answers queued claims in order of arrival, as far as possible; drops old ones. */
 static void answer_queue(ts_rate_limiter_t *limiter, held_lease_t *held,
                          const ts_rate_terms_t *terms, ts_time_us_t now_us)
 {
     while (held->queue != NULL && held->queue->len > 0) {
-        const queued_ask_t *first = &g_array_index(held->queue, queued_ask_t, 0);
+        const queued_claim_t *first = &g_array_index(held->queue, queued_claim_t, 0);
         bool is_late = now_us - first->at_us > QUEUED_US;
         if (!is_late && !answer_from_lease(limiter, held, terms, first, now_us))
             return;
@@ -494,9 +500,9 @@
     }
 }
 
-/* What a node of the zone says of itself; what it has spent by itself is told on to the home. */
-static void note_debtor(held_lease_t *held, const ts_rate_terms_t *terms, uint64_t node,
-                        const ts_rate_row_t *row, ts_time_us_t now_us)
+/* Updates a node of the zone from its claim, and adds its spending to the total for the home. */
+static void update_debtor(held_lease_t *held, const ts_rate_terms_t *terms, uint64_t node,
+                          const ts_rate_row_t *row, ts_time_us_t now_us)
 {
     if (held->debtors == NULL)
         held->debtors = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
@@ -509,7 +515,7 @@
     double spent = ts_rate_debt(debtor->spent_alone, row->spent_alone);
     double right = MAX(debtor->right, row->right);
     double owed = ts_rate_allow(&debtor->allowance, terms, right, spent, now_us) - debtor->assumed;
-    owe(held, row->has_moved ? MAX(owed, 0) : owed);
+    add_owed(held, row->has_moved ? MAX(owed, 0) : owed);
     debtor->assumed = 0;
     debtor->spent_alone = row->spent_alone;
     debtor->used = row->used;
@@ -521,30 +527,32 @@
 }
 
 /*
- * A node that is asked although it is neither home nor deputy by its own view does the same: it
- * asks in its turn. That ends at a home, as each one asked has a higher weight than who asks.
+ * Handles a claim as a deputy. A node that is neither home nor deputy in its own view does so too
+ * and sends claims in turn. Such a chain ends at a home, as each issuer has a higher rendezvous
+ * weight than the node that sends the claim.
  */
-static void deal_as_deputy(ts_rate_limiter_t *limiter, uint64_t node, const char *address,
-                           const ts_rate_row_t *row, const ts_rate_terms_t *terms,
-                           ts_time_us_t now_us)
+static void grant_as_deputy(ts_rate_limiter_t *limiter, uint64_t node, const char *address,
+                            const ts_rate_row_t *row, const ts_rate_terms_t *terms,
+                            ts_time_us_t now_us)
 {
     held_lease_t *held = find_lease(limiter, row->account, now_us);
-    unsigned lacking = row->wanted > row->in_hand ? row->wanted - row->in_hand : 0;
-    queued_ask_t ask = {(char *)address, node, row->ask, lacking, now_us};
+    unsigned missing = row->wanted > row->in_hand ? row->wanted - row->in_hand : 0;
+    queued_claim_t queued = {(char *)address, node, row->ask, missing, now_us};
     held->lease.is_deputy = true;
     ts_rate_lease_take_saved(&held->lease, row->saved);
-    note_debtor(held, terms, node, row, now_us);
-    for (unsigned i = 0; i < lacking; i++)
+    update_debtor(held, terms, node, row, now_us);
+    for (unsigned i = 0; i < missing; i++)
         ts_rate_lease_note_demand(&held->lease, now_us);
-    if (!answer_from_lease(limiter, held, terms, &ask, now_us))
-        queue_ask(held, &ask);
-    ask_if_due(limiter, held, terms, now_us);
+    if (!answer_from_lease(limiter, held, terms, &queued, now_us))
+        queue_claim(held, &queued);
+    claim_if_due(limiter, held, terms, now_us);
     answer_queue(limiter, held, terms, now_us);
 }
 
 /*
- * A node of this deputy's zone asks it as the home: what it holds of this node's right is its own
- * from now on. As a debtor it would not be heard any more, and be taken to spend by it.
+ * Removes a debtor that now sends its claims to this node as the home, or leaves it. The fallback
+ * rate that this deputy assigned to it is no longer part of this node's. If it stayed a debtor, it
+ * would look silent and be assumed to spend that rate.
  */
 static void release_debtor(const ts_rate_limiter_t *limiter, const char *account, uint64_t node)
 {
@@ -558,9 +566,9 @@
     g_hash_table_remove(held->debtors, &node);
 }
 
-/* A node that had lent its right to this one asks another dealer now. */
-static void take_leave(ts_rate_limiter_t *limiter, uint64_t node, const char *address,
-                       const ts_rate_row_t *row)
+/* Handles the notice of a node that it uses another issuer now. */
+static void handle_leave(ts_rate_limiter_t *limiter, uint64_t node, const char *address,
+                         const ts_rate_row_t *row)
 {
     ts_rate_account_t *account = g_hash_table_lookup(limiter->accounts, row->account);
     ts_rate_row_t answer = {.account = row->account, .foreign_from = row->foreign_from};
@@ -578,16 +586,16 @@
     if (!limiter->ops->terms(limiter->ctx, row->account, &terms))
         return false;
     if (row->is_leaving) {
-        take_leave(limiter, node, address, row);
+        handle_leave(limiter, node, address, row);
         return true;
     }
     ts_rate_row_t answer = *row;
     if (!is_home(limiter, row->account)) {
-        deal_as_deputy(limiter, node, address, row, &terms, now_us);
+        grant_as_deputy(limiter, node, address, row, &terms, now_us);
         return true;
     }
     release_debtor(limiter, row->account, node);
-    if (deal_as_home(limiter, node, ts_hash_text(address), &terms, &answer, now_us))
+    if (grant_as_home(limiter, node, ts_hash_text(address), &terms, &answer, now_us))
         limiter->ops->answer(limiter->ctx, address, &answer);
     return true;
 }
@@ -608,12 +616,12 @@
     limiter->ops->dealt(limiter->ctx, row->account);
 }
 
-// -- Time
+// -- Periodic work
 
 static gboolean is_idle_account(gpointer name, gpointer value, gpointer now)
 {
     const ts_rate_account_t *account = value;
-    return *(const ts_time_us_t *)now - account->at_us > ACCOUNT_KEPT_US;
+    return *(const ts_time_us_t *)now - account->at_us > ACCOUNT_IDLE_US;
 }
 
 void ts_rate_limiter_turn(ts_rate_limiter_t *limiter, ts_time_us_t now_us)
@@ -625,14 +633,14 @@
         held_lease_t *held = value;
         ts_rate_terms_t terms;
         bool is_limited = limiter->ops->terms(limiter->ctx, held->account, &terms);
-        if (!is_limited || now_us - held->lease.used_us > LEASE_KEPT_US) {
+        if (!is_limited || now_us - held->lease.used_us > LEASE_IDLE_US) {
             g_hash_table_iter_remove(&iterator);
             continue;
         }
         answer_queue(limiter, held, &terms, now_us);
         (void)sum_debtors(held, now_us);
         if (ts_rate_lease_is_due(&held->lease, &terms, now_us))
-            ask_dealer(limiter, held, &terms, now_us);
+            send_claim(limiter, held, &terms, now_us);
     }
     g_hash_table_foreach_remove(limiter->accounts, is_idle_account, &now_us);
 }
--- a/src/route/records.c
+++ b/src/route/records.c
@@ -1,11 +1,11 @@
-/** The greatest records of several parts. */
+/** Merges the results of parts into the top records. */
 #include "tealspar/records.h"
 
 #include <stdbool.h>
 #include <stdint.h>
 #include <string.h>
 
-/* A record as two numbers that compare as its bytes do. */
+/* A record as two integers in host byte order, which compare like its bytes. */
 typedef struct record {
     uint64_t high;
     uint64_t low;
@@ -30,9 +30,9 @@
 
 static void swap(record_t *left, record_t *right)
 {
-    record_t kept = *left;
+    record_t saved = *left;
     *left = *right;
-    *right = kept;
+    *right = saved;
 }
 
 void ts_top_records_init(ts_top_records_t *records, size_t top)
@@ -93,14 +93,14 @@
     }
 }
 
-static gint compare_falling(gconstpointer left, gconstpointer right)
+static gint compare_descending(gconstpointer left, gconstpointer right)
 {
     return is_less(left, right) - is_less(right, left);
 }
 
 void ts_top_records_finish(ts_top_records_t *records, GString *out)
 {
-    g_array_sort(records->heap, compare_falling);
+    g_array_sort(records->heap, compare_descending);
     for (guint i = 0; i < records->heap->len; i++) {
         const record_t *record = record_at(records, i);
         uint64_t halves[2] = {GUINT64_TO_BE(record->high), GUINT64_TO_BE(record->low)};
--- a/src/route/replica.c
+++ b/src/route/replica.c
@@ -1,4 +1,4 @@
-/** The choice of an instance. */
+/** Selection of an instance. */
 #include "tealspar/replica.h"
 
 #include <glib.h>
@@ -8,12 +8,14 @@
 #define AVOIDED_COST_US 600000.0
 #define LEAVING_COST_US 1200000.0
 #define WARMUP_FACTOR 1.6
-/* What a failed answer costs, in times of such a request: it is sent once more, from the budget. */
+/* Cost of a failed response in service times: the request is retried, at the expense of the budget.
+ */
 #define FAILED_COST_RATIO 10.0
-/* A suspected instance is given one request after so long without an answer. */
-#define RETRY_SUSPECTED_US (1000 * TS_US_PER_MS)
-/* How often the nodes together fill an instance's slots when their limits are at the lowest. */
-#define SLOTS_FILLED 2.0
+/* A suspected instance gets a probe request after this time since the last one. */
+#define PROBE_INTERVAL_US (1000 * TS_US_PER_MS)
+/* Requests per slot that all nodes together may have in flight at their lowest limits. */
+#define MIN_REQUESTS_PER_SLOT 2.0
+/* Random cost to break ties, as a share of the service time. */
 #define TIE_SHARE 0.04
 #define RANDOM_RANGE 1024U
 
@@ -57,7 +59,7 @@
     return has_listed;
 }
 
-/* Share of a service time that new work waits for what this node has there already. */
+/* Expected queueing delay behind this node's requests in flight, in service times. */
 static double queue_factor(const ts_instance_t *instance)
 {
     double slots = instance->slots > 0 ? instance->slots : 1;
@@ -65,9 +67,9 @@
     return load < 1 ? load * load / 2 : load;
 }
 
-static bool is_due_for_trial(const ts_instance_t *instance, ts_time_us_t now_us)
+static bool is_probe_due(const ts_instance_t *instance, ts_time_us_t now_us)
 {
-    return now_us - instance->tried_us > RETRY_SUSPECTED_US;
+    return now_us - instance->tried_us > PROBE_INTERVAL_US;
 }
 
 double ts_replica_cost(const ts_instance_t *instance, const ts_replica_input_t *input)
@@ -78,7 +80,7 @@
     }
     double cost_us = ts_travel_us(instance->travel) + work_us * (1 + queue_factor(instance));
     cost_us += ts_instance_failing(instance, input->now_us) * FAILED_COST_RATIO * input->work_us;
-    if (instance->suspected_us != 0 && !is_due_for_trial(instance, input->now_us)) {
+    if (instance->suspected_us != 0 && !is_probe_due(instance, input->now_us)) {
         cost_us += SUSPECTED_COST_US;
     }
     if (instance->avoid_until_us > input->now_us) {
@@ -92,15 +94,16 @@
 
 bool ts_replica_is_full(const ts_instance_t *instance, const ts_replica_input_t *input)
 {
-    bool is_bound = ts_instance_is_cold_bound(instance, input->now_us);
-    if (is_bound && !ts_cold_window_has_room(&instance->cold, input->now_us))
+    bool is_warmup_limited = ts_instance_is_cold_bound(instance, input->now_us);
+    if (is_warmup_limited && !ts_cold_window_has_room(&instance->cold, input->now_us))
         return true;
-    /* Whatever was learned, the nodes together may fill the instance's slots and queue as much. */
-    double slots_share = SLOTS_FILLED * instance->slots / (double)input->nodes;
-    double least = MAX(ceil(slots_share), 1);
-    double learned =
-        instance->limit > 0 ? MAX(floor(instance->limit), least) : input->connections_max;
-    return instance->in_flight >= MIN(learned, input->connections_max);
+    /* The learned limits of all nodes together always allow filling the slots and a queue as long.
+     */
+    double slots_share = MIN_REQUESTS_PER_SLOT * instance->slots / (double)input->nodes;
+    double limit_min = MAX(ceil(slots_share), 1);
+    double limit =
+        instance->limit > 0 ? MAX(floor(instance->limit), limit_min) : input->connections_max;
+    return instance->in_flight >= MIN(limit, input->connections_max);
 }
 
 static bool is_among(const ts_instance_t *instance, ts_instance_t *const *tried, unsigned count)
--- a/src/route/retry_budget.c
+++ b/src/route/retry_budget.c
@@ -1,34 +1,34 @@
-/** The retry budget: a window of slices, moved on by the given time. */
+/** Retry budget over a sliding window of slices. */
 #include "tealspar/retry_budget.h"
 
 #include <glib.h>
 #include <string.h>
 
-/* Held back for requests that other nodes count in another slice. */
-#define SAFETY 0.85
-/* A lender keeps this many extra sends for itself. */
-#define LEND_KEEPS 1.0
-/* Of what the window allows: with less left, extra sends are for what needs them most. */
+/* Share of the ratio that is used. The rest covers requests that other nodes count in other slices.
+ */
+#define RATIO_SAFETY 0.85
+/* Retries that a lender keeps for itself. */
+#define LENDER_RESERVE 1.0
+/* The budget is low below this share; retries are then reserved for parts that need them. */
 #define LOW_SHARE 0.5
-/* A loan is void after this: it was counted when it was granted, and must be spent near that. */
+/* A loan is charged to the window when it is granted, so it has to be spent soon after. */
 #define LOAN_VALID_US (300 * TS_US_PER_MS)
-#define EXTRA_SLICES (TS_RETRY_BUDGET_SLICES + 1)
+#define RETRY_SLICES (TS_RETRY_BUDGET_SLICES + 1)
 
 static void clear_slice(ts_retry_budget_t *budget, uint64_t slice)
 {
     budget->requests[slice % TS_RETRY_BUDGET_SLICES] = 0;
-    budget->extras[slice % EXTRA_SLICES] = 0;
+    budget->retries[slice % RETRY_SLICES] = 0;
 }
 
-static void move_on(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
+static void advance(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
                     ts_time_us_t now_us)
 {
     uint64_t slice = now_us / (rule->window_us / TS_RETRY_BUDGET_SLICES);
-    if (slice - budget->slice > EXTRA_SLICES) {
-        uint64_t kept = slice;
+    if (slice - budget->slice > RETRY_SLICES) {
         memset(budget->requests, 0, sizeof(budget->requests));
-        memset(budget->extras, 0, sizeof(budget->extras));
-        budget->slice = kept;
+        memset(budget->retries, 0, sizeof(budget->retries));
+        budget->slice = slice;
         return;
     }
     while (budget->slice < slice) {
@@ -39,30 +39,30 @@
 void ts_retry_budget_count_request(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
                                    ts_time_us_t now_us)
 {
-    move_on(budget, rule, now_us);
+    advance(budget, rule, now_us);
     budget->requests[budget->slice % TS_RETRY_BUDGET_SLICES]++;
 }
 
-/* Extra sends that the window allows, spent or not. */
+/* Retries allowed in the window, spent or not. */
 static double count_allowed(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
                             ts_time_us_t now_us)
 {
     uint32_t requests = 0;
-    move_on(budget, rule, now_us);
+    advance(budget, rule, now_us);
     for (unsigned i = 0; i < TS_RETRY_BUDGET_SLICES; i++)
         requests += budget->requests[i];
-    return SAFETY * rule->ratio * requests + rule->slack_share;
+    return RATIO_SAFETY * rule->ratio * requests + rule->slack_share;
 }
 
-/* Extra sends that the window still holds. */
+/* Retries left in the window. */
 static double count_left(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
                          ts_time_us_t now_us)
 {
     double allowed = count_allowed(budget, rule, now_us);
-    uint32_t extras = 0;
-    for (unsigned i = 0; i < EXTRA_SLICES; i++)
-        extras += budget->extras[i];
-    return allowed - extras;
+    uint32_t retries = 0;
+    for (unsigned i = 0; i < RETRY_SLICES; i++)
+        retries += budget->retries[i];
+    return allowed - retries;
 }
 
 bool ts_retry_budget_is_low(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
@@ -75,7 +75,7 @@
                           ts_time_us_t now_us)
 {
     if (count_left(budget, rule, now_us) >= 1) {
-        budget->extras[budget->slice % EXTRA_SLICES]++;
+        budget->retries[budget->slice % RETRY_SLICES]++;
         return true;
     }
     if (budget->borrowed > 0 && now_us < budget->borrowed_until_us) {
@@ -88,9 +88,9 @@
 uint32_t ts_retry_budget_lend(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
                               uint32_t most, ts_time_us_t now_us)
 {
-    double spare = count_left(budget, rule, now_us) - LEND_KEEPS;
+    double spare = count_left(budget, rule, now_us) - LENDER_RESERVE;
     uint32_t granted = spare < 1 ? 0 : MIN((uint32_t)spare, most);
-    budget->extras[budget->slice % EXTRA_SLICES] += granted;
+    budget->retries[budget->slice % RETRY_SLICES] += granted;
     return granted;
 }
 
@@ -104,8 +104,8 @@
 
 void ts_retry_budget_return(ts_retry_budget_t *budget)
 {
-    uint32_t *extras = &budget->extras[budget->slice % EXTRA_SLICES];
-    if (*extras > 0) {
-        (*extras)--;
+    uint32_t *retries = &budget->retries[budget->slice % RETRY_SLICES];
+    if (*retries > 0) {
+        (*retries)--;
     }
 }
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -1,4 +1,4 @@
-/** Parts of the routing decision that all policies share. */
+/** Routing functions shared by all policies. */
 #include "tealspar/route.h"
 
 #include <math.h>
@@ -6,11 +6,11 @@
 #include "tealspar/hash.h"
 
 #define PERCENT 100.0
-/* Guards the rounding of percentages such as 99.9 of 1000 shards. */
+/* Compensates for rounding errors of percentages such as 99.9 % of 1000 shards. */
 #define ROUNDING 1e-9
-/* In balance about one query in ten that is let through fails for overload. */
-#define PASS_FALL 0.05
-#define PASS_RISE 0.006
+/* In equilibrium about one in ten admitted queries fails because of overload. */
+#define SHED_DECREASE 0.05
+#define SHED_INCREASE 0.006
 #define RANDOM_SCALE 18446744073709551616.0
 
 double ts_route_coverage_percent(uint32_t covered, uint32_t shards)
@@ -28,8 +28,8 @@
     if (input->covered == input->shards) {
         return TS_STOP_COMPLETE;
     }
-    uint32_t least = ts_route_least_shards(input->selector, input->shards);
-    if (input->covered + input->possible < least) {
+    uint32_t shards_min = ts_route_least_shards(input->selector, input->shards);
+    if (input->covered + input->possible < shards_min) {
         return TS_STOP_HOPELESS;
     }
     if (input->possible == 0) {
@@ -76,7 +76,8 @@
 
 void ts_pass_learn(ts_pass_t *pass, bool has_failed_for_overload)
 {
-    pass->part = has_failed_for_overload ? pass->part * (1.0 - PASS_FALL) : pass->part + PASS_RISE;
+    pass->part =
+        has_failed_for_overload ? pass->part * (1.0 - SHED_DECREASE) : pass->part + SHED_INCREASE;
     pass->part = fmin(fmax(pass->part, TS_PASS_LEAST), 1.0);
 }
 
@@ -104,8 +105,8 @@
     return false;
 }
 
-static ts_snapshot_choice_t weigh_snapshot(const ts_shard_versions_t *shards, size_t count,
-                                           uint64_t snapshot)
+static ts_snapshot_choice_t count_shards(const ts_shard_versions_t *shards, size_t count,
+                                         uint64_t snapshot)
 {
     ts_snapshot_choice_t choice = {snapshot, 0, 0};
     for (size_t i = 0; i < count; i++) {
@@ -120,10 +121,10 @@
 
 static bool is_better(const ts_snapshot_choice_t *left, const ts_snapshot_choice_t *right)
 {
-    uint32_t left_reach = left->covered + left->possible;
-    uint32_t right_reach = right->covered + right->possible;
-    if (left_reach != right_reach) {
-        return left_reach > right_reach;
+    uint32_t left_max = left->covered + left->possible;
+    uint32_t right_max = right->covered + right->possible;
+    if (left_max != right_max) {
+        return left_max > right_max;
     }
     if (left->covered != right->covered) {
         return left->covered > right->covered;
@@ -131,7 +132,7 @@
     return left->snapshot > right->snapshot;
 }
 
-/* Lists the distinct versions answered; returns how many. */
+/* Lists the distinct versions in answers; returns their number. */
 static size_t list_snapshots(const ts_shard_versions_t *shards, size_t count, uint64_t *found)
 {
     size_t found_count = 0;
@@ -154,10 +155,10 @@
 {
     uint64_t snapshots[TS_SNAPSHOTS_MAX];
     size_t snapshot_count = list_snapshots(shards, count, snapshots);
-    ts_snapshot_choice_t best = weigh_snapshot(shards, count, UINT64_MAX);
+    ts_snapshot_choice_t best = count_shards(shards, count, UINT64_MAX);
     best.snapshot = 0;
     for (size_t i = 0; i < snapshot_count; i++) {
-        ts_snapshot_choice_t choice = weigh_snapshot(shards, count, snapshots[i]);
+        ts_snapshot_choice_t choice = count_shards(shards, count, snapshots[i]);
         if (best.snapshot == 0 || is_better(&choice, &best)) {
             best = choice;
         }
--- a/src/route/route_state.c
+++ b/src/route/route_state.c
@@ -1,30 +1,30 @@
-/** What a node learns about a route. */
+/** Per-route statistics of a node. */
 #include "tealspar/route_state.h"
 
-#define TYPICAL_QUANTILE 0.5
+#define MEDIAN_QUANTILE 0.5
 #define OVERDUE_QUANTILE 0.9
-/* First guesses, as parts of the aim, until answers were seen. */
-#define TYPICAL_GUESS_DIVISOR 10
+/* Initial estimates, as fractions of the route's target latency. */
+#define MEDIAN_GUESS_DIVISOR 10
 #define OVERDUE_GUESS_DIVISOR 5
-#define AIM_DEFAULT_MS 500
+#define TARGET_LATENCY_DEFAULT_MS 500
 #define US_PER_MS 1000.0
 /*
- * However late the latest tenth is, a send is overdue after this many times the median: when some
- * instances are slow, the quantile is theirs.
- */
-#define OVERDUE_TYPICAL_MAX 2.5
-/* Places in the order of a split where a node may begin: a split by hundredths repeats after these.
+ * Upper bound on the overdue time, in medians. When some instances are slow, the quantile reflects
+ * only their response times.
  */
+#define OVERDUE_MEDIANS_MAX 2.5
+/* Starting positions of the round robin. With weights in percent it repeats after 100 turns. */
 #define PHASES 100U
-/* An unfinished send counts as this much longer than the present estimate. */
+/* A request that is still unanswered counts as this multiple of the overdue estimate. */
 #define OVERDUE_FACTOR 2.0
 
-ts_route_state_t *ts_route_state_create(uint32_t aim_ms)
+ts_route_state_t *ts_route_state_create(uint32_t target_latency_ms)
 {
     ts_route_state_t *state = g_new0(ts_route_state_t, 1);
-    double aim_us = (aim_ms > 0 ? aim_ms : AIM_DEFAULT_MS) * US_PER_MS;
-    ts_quantile_init(&state->typical, TYPICAL_QUANTILE, aim_us / TYPICAL_GUESS_DIVISOR);
-    ts_quantile_init(&state->overdue, OVERDUE_QUANTILE, aim_us / OVERDUE_GUESS_DIVISOR);
+    double target_us =
+        (target_latency_ms > 0 ? target_latency_ms : TARGET_LATENCY_DEFAULT_MS) * US_PER_MS;
+    ts_quantile_init(&state->typical, MEDIAN_QUANTILE, target_us / MEDIAN_GUESS_DIVISOR);
+    ts_quantile_init(&state->overdue, OVERDUE_QUANTILE, target_us / OVERDUE_GUESS_DIVISOR);
     state->credits = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return state;
 }
@@ -56,7 +56,7 @@
 
 double ts_route_state_overdue_us(const ts_route_state_t *state)
 {
-    return MIN(state->overdue.value_us, OVERDUE_TYPICAL_MAX * state->typical.value_us);
+    return MIN(state->overdue.value_us, OVERDUE_MEDIANS_MAX * state->typical.value_us);
 }
 
 const char *ts_route_outcome_name(ts_outcome_t outcome)
--- a/src/route/slowness.c
+++ b/src/route/slowness.c
@@ -1,4 +1,5 @@
-/** How slow, failing or cold an instance is believed to be; that is learned in src/registry. */
+/** Estimates of an instance's slowness, failure rate and warm-up state, from data of src/registry.
+ */
 #include "tealspar/mechanism.h"
 #include "tealspar/registry.h"
 
--- a/src/route/told_load.c
+++ b/src/route/told_load.c
@@ -1,4 +1,4 @@
-/** What told load says. */
+/** Load reported by a backend. */
 #include "tealspar/told_load.h"
 
 bool ts_told_load_is_idle(const ts_told_load_t *load)
--- a/src/route/travel.c
+++ b/src/route/travel.c
@@ -1,14 +1,14 @@
-/** Travel to a zone and back. */
+/** Estimate of the round-trip time to a zone. */
 #include "tealspar/travel.h"
 
-#define TRAVEL_QUANTILE 0.25
+#define RTT_QUANTILE 0.25
 
-/* Until the first connection is made. */
+/* Estimates by distance, used until the first connection is established. */
 static const double guess_us[TS_DISTANCE_COUNT] = {300, 2500, 25000};
 
 void ts_travel_init(ts_travel_t *travel, ts_distance_t distance)
 {
-    ts_quantile_init(&travel->round_trip, TRAVEL_QUANTILE, guess_us[distance]);
+    ts_quantile_init(&travel->round_trip, RTT_QUANTILE, guess_us[distance]);
 }
 
 void ts_travel_note(ts_travel_t *travel, ts_time_us_t span_us)
