--- a/tests/route/test_evidence.c
+++ b/tests/route/test_evidence.c
@@ -11,30 +11,30 @@
 static void note_time(ts_evidence_t *evidence, double ratio, ts_time_us_t now_us)
 {
     ts_evidence_count_t count = {0};
-    ts_evidence_count_verdict(&count, false);
-    ts_evidence_count_time(&count, ratio);
-    ts_evidence_note(evidence, &count, now_us);
+    ts_evidence_count_result(&count, false);
+    ts_evidence_count_latency(&count, ratio);
+    ts_evidence_add(evidence, &count, now_us);
 }
 
 static double slowness(const ts_evidence_t *evidence, ts_time_us_t now_us)
 {
     ts_evidence_sums_t sums = ts_evidence_sums(evidence, now_us);
-    return ts_evidence_slowness(&sums);
+    return ts_evidence_latency_ratio(&sums);
 }
 
 static double failing(const ts_evidence_t *evidence, ts_time_us_t now_us)
 {
     ts_evidence_sums_t sums = ts_evidence_sums(evidence, now_us);
-    return ts_evidence_failing(&sums);
+    return ts_evidence_failure_rate(&sums);
 }
 
 static void test_nothing_known_is_usual(void **state)
 {
     ts_evidence_t evidence = {0};
     ts_evidence_sums_t sums = ts_evidence_sums(&evidence, BEGIN_US);
-    assert_true(ts_evidence_slowness(&sums) == 1);
-    assert_true(ts_evidence_failing(&sums) == 0);
-    assert_false(ts_evidence_is_unusual(&sums));
+    assert_true(ts_evidence_latency_ratio(&sums) == 1);
+    assert_true(ts_evidence_failure_rate(&sums) == 0);
+    assert_false(ts_evidence_is_anomalous(&sums));
 }
 
 /* Thirty late answers of one pause weigh less than eight that come one after another. */
@@ -59,8 +59,8 @@
     ts_evidence_t evidence = {0};
     ts_evidence_count_t count = {0};
     for (int i = 0; i < 10; i++)
-        ts_evidence_count_verdict(&count, true);
-    ts_evidence_note(&evidence, &count, BEGIN_US);
+        ts_evidence_count_result(&count, true);
+    ts_evidence_add(&evidence, &count, BEGIN_US);
     note_time(&evidence, 8, BEGIN_US);
     assert_true(failing(&evidence, BEGIN_US) > 0.6);
     assert_true(failing(&evidence, BEGIN_US + 20 * TS_US_PER_S) < 0.01);
@@ -78,17 +78,17 @@
     ts_evidence_t joined = {0};
     ts_evidence_t alone = {0};
     for (int i = 0; i < 12; i++) {
-        ts_evidence_count_verdict(i % 2 ? &a : &b, i % 3 == 0);
-        ts_evidence_count_time(i % 2 ? &a : &b, 1 + i);
-        ts_evidence_count_verdict(&both, i % 3 == 0);
-        ts_evidence_count_time(&both, 1 + i);
+        ts_evidence_count_result(i % 2 ? &a : &b, i % 3 == 0);
+        ts_evidence_count_latency(i % 2 ? &a : &b, 1 + i);
+        ts_evidence_count_result(&both, i % 3 == 0);
+        ts_evidence_count_latency(&both, 1 + i);
     }
     ts_evidence_count_add(&a, &b);
-    ts_evidence_note(&joined, &a, BEGIN_US);
-    ts_evidence_note(&alone, &both, BEGIN_US);
+    ts_evidence_add(&joined, &a, BEGIN_US);
+    ts_evidence_add(&alone, &both, BEGIN_US);
     assert_true(fabs(slowness(&joined, BEGIN_US) - slowness(&alone, BEGIN_US)) < 1e-9);
     assert_true(fabs(failing(&joined, BEGIN_US) - failing(&alone, BEGIN_US)) < 1e-9);
-    assert_true(a.has_sign);
+    assert_true(a.has_anomaly);
 }
 
 /* Absurd times count as no more than very late ones. */
--- a/tests/route/test_gateway_decisions.c
+++ b/tests/route/test_gateway_decisions.c
@@ -33,7 +33,7 @@
     GRand *random = g_rand_new_with_seed(8);
     for (int i = 0; i < 2000; i++) {
         double factor = g_rand_int_range(random, 0, 10) < 3 ? 8 : 1;
-        ts_route_state_note(route_state, factor * g_rand_double_range(random, 20000, 30000));
+        ts_route_state_add_latency(route_state, factor * g_rand_double_range(random, 20000, 30000));
     }
     assert_true(ts_route_state_overdue_us(route_state) < 80000);
     assert_true(ts_route_state_overdue_us(route_state) > 30000);
@@ -90,30 +90,30 @@
 /* One caller with a huge deadline, or none, does not make others look as if they had returned. */
 static void test_unusual_patience_is_passed_over(void **state)
 {
-    ts_patience_t patience = {0};
-    assert_false(ts_patience_has_returned(&patience, 100)); /* nothing is known */
+    ts_caller_timeouts_t patience = {0};
+    assert_false(ts_caller_timeouts_is_retry(&patience, 100)); /* nothing is known */
     for (int i = 0; i < 100; i++) {
-        ts_patience_note(&patience, i % 12 == 5 ? 3600000 : 4000);
-        ts_patience_note(&patience, 0);
+        ts_caller_timeouts_add(&patience, i % 12 == 5 ? 3600000 : 4000);
+        ts_caller_timeouts_add(&patience, 0);
         if (i > 8)
-            assert_int_equal(ts_patience_usual_ms(&patience), 4000);
+            assert_int_equal(ts_caller_timeouts_typical_ms(&patience), 4000);
     }
-    assert_false(ts_patience_has_returned(&patience, 4000));
-    assert_false(ts_patience_has_returned(&patience, 0));
-    assert_true(ts_patience_has_returned(&patience, 2500));
+    assert_false(ts_caller_timeouts_is_retry(&patience, 4000));
+    assert_false(ts_caller_timeouts_is_retry(&patience, 0));
+    assert_true(ts_caller_timeouts_is_retry(&patience, 2500));
 }
 
 /* Most of the latest have returned: they are still told from the others; a change is followed. */
 static void test_patience_follows_the_callers(void **state)
 {
-    ts_patience_t patience = {0};
+    ts_caller_timeouts_t patience = {0};
     for (int i = 0; i < 64; i++)
-        ts_patience_note(&patience, i % 5 == 0 ? 4000 : 2200);
-    assert_true(ts_patience_has_returned(&patience, 2200));
+        ts_caller_timeouts_add(&patience, i % 5 == 0 ? 4000 : 2200);
+    assert_true(ts_caller_timeouts_is_retry(&patience, 2200));
     for (int i = 0; i < 64; i++)
-        ts_patience_note(&patience, 1000);
-    assert_int_equal(ts_patience_usual_ms(&patience), 1000);
-    assert_false(ts_patience_has_returned(&patience, 1000));
+        ts_caller_timeouts_add(&patience, 1000);
+    assert_int_equal(ts_caller_timeouts_typical_ms(&patience), 1000);
+    assert_false(ts_caller_timeouts_is_retry(&patience, 1000));
 }
 
 static gint compare_falling(gconstpointer left, gconstpointer right)
@@ -218,7 +218,8 @@
         ts_registry_note_travel(registry, far, 10 * MS);
     }
     assert_true(ts_registry_travel_least_us(registry) < MS);
-    assert_true(ts_travel_us(next->travel) > 50 * MS && ts_travel_us(next->travel) < 70 * MS);
+    assert_true(ts_rtt_estimate_us(next->travel) > 50 * MS &&
+                ts_rtt_estimate_us(next->travel) < 70 * MS);
     assert_true(ts_registry_travel_most_us(registry) > 50 * MS);
     near->in_flight = 12;
     assert_ptr_equal(choose(registry, now_us), far); // the zone of the same region is further
@@ -251,8 +252,8 @@
     g_ptr_array_add(regions, (gpointer)g_intern_string("r2"));
     ts_replica_input_t input = {20000, 100 * TS_US_PER_S, 2000 * MS, 20, 4, 17, regions};
     assert_ptr_equal(ts_replica_choose(service, &input, NULL, 0), far);
-    assert_int_equal(ts_replica_find_obstacle(near, &input), TS_OBSTACLE_PLACEMENT);
-    assert_int_equal(ts_replica_find_obstacle(stray, &input), TS_OBSTACLE_PLACEMENT);
+    assert_int_equal(ts_replica_find_exclusion(near, &input), TS_EXCLUSION_PLACEMENT);
+    assert_int_equal(ts_replica_find_exclusion(stray, &input), TS_EXCLUSION_PLACEMENT);
     assert_null(ts_replica_choose(service, &input, &far, 1)); /* nor when it is sent again */
     far->in_flight = 20;
     assert_null(ts_replica_choose(service, &input, NULL, 0));
@@ -295,10 +296,10 @@
             uint32_t sum = 0;
             uint32_t sum_after_loss = 0;
             for (unsigned place = 0; place < sizes[i]; place++) {
-                ts_fleet_place_t fleet = {sizes[i], place, true};
+                ts_fleet_index_t fleet = {sizes[i], place, true};
                 sum += ts_cold_share(&rule, rates[j], &fleet);
                 /* Each sees itself alone: all of them believe that they are the first. */
-                ts_fleet_place_t alone = {sizes[i], 0, false};
+                ts_fleet_index_t alone = {sizes[i], 0, false};
                 sum_after_loss += ts_cold_share(&rule, rates[j], &alone);
             }
             assert_true(sum <= bound && sum >= floor(bound) * 2 / 3 - 1);
@@ -319,7 +320,7 @@
         bool wants = g_rand_int_range(random, 0, 100) < ((ms / 4000) % 2 == 0 ? 50 : 1);
         sent[ms] = wants && ts_cold_window_has_room(&window, now_us);
         if (sent[ms])
-            ts_cold_window_note(&window, now_us);
+            ts_cold_window_count(&window, now_us);
     }
     uint32_t total = 0;
     for (unsigned begin = 0; begin + 1000 <= SPAN_MS; begin++) {
@@ -374,22 +375,22 @@
     ts_registry_t *registry = ts_registry_create("z1", two_regions());
     ts_instance_t *near = add(registry, "near", "z1");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
-    near->told = (ts_told_load_t){4, 12, 4, now_us};
+    near->told = (ts_reported_load_t){4, 12, 4, now_us};
     ts_instance_note_refusal(near, now_us);
-    assert_true(ts_instance_failing(near, now_us) == 0);
+    assert_true(ts_instance_failure_rate(near, now_us) == 0);
     double limit = near->limit;
-    near->told = (ts_told_load_t){1, 0, 4, now_us};
+    near->told = (ts_reported_load_t){1, 0, 4, now_us};
     ts_instance_note_refusal(near, now_us);
-    assert_true(ts_instance_failing(near, now_us) > 0.2);
+    assert_true(ts_instance_failure_rate(near, now_us) > 0.2);
     assert_true(near->limit == limit);                 /* it could take more */
     ts_instance_t *next = add(registry, "next", "z2"); /* tells nothing */
     ts_instance_note_answer(next, now_us, 20000, 20000);
     ts_instance_note_answer(next, now_us + 900 * MS, 150000, 20000);
     ts_instance_note_refusal(next, now_us + 1200 * MS);
-    assert_true(ts_instance_failing(next, now_us + 1200 * MS) == 0);
+    assert_true(ts_instance_failure_rate(next, now_us + 1200 * MS) == 0);
     ts_instance_note_answer(next, now_us + 2000 * MS, 20000, 20000);
     ts_instance_note_refusal(next, now_us + 2100 * MS);
-    assert_true(ts_instance_failing(next, now_us + 2100 * MS) > 0.2);
+    assert_true(ts_instance_failure_rate(next, now_us + 2100 * MS) > 0.2);
 }
 
 static void test_suspected_until_it_answers(void **state)
@@ -439,10 +440,10 @@
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     for (int i = 0; i < 8; i++)
         ts_instance_note_answer(near, now_us += 300 * MS, 200000, 20000);
-    assert_true(ts_instance_slowness(near, now_us) > 4);
+    assert_true(ts_instance_latency_ratio(near, now_us) > 4);
     now_us += 24 * TS_US_PER_S;
     ts_instance_note_answer(near, now_us, 20000, 20000);
-    assert_true(ts_instance_slowness(near, now_us) < 1.5);
+    assert_true(ts_instance_latency_ratio(near, now_us) < 1.5);
 }
 
 /* Late answers that were out together are one sign, one after another they make an instance slow.
--- a/tests/route/test_quarantine.c
+++ b/tests/route/test_quarantine.c
@@ -27,7 +27,7 @@
     ts_quarantine_strike(q, &one, "b", BEGIN_US, BEGIN_US);
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US), TS_QUARANTINE_SUSPECT);
     ts_quarantine_strike(q, &one, "b", BEGIN_US + S, BEGIN_US + S);
-    assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + S), TS_QUARANTINE_HELD);
+    assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + S), TS_QUARANTINE_QUARANTINED);
     assert_int_equal(ts_quarantine_find(q, &other, BEGIN_US + S), TS_QUARANTINE_CLEAR);
     ts_quarantine_suspect(q, &one, "a", BEGIN_US + 2 * S); // a send from before the verdict
     assert_string_equal(ts_quarantine_service(q, &one), "b");
@@ -44,7 +44,7 @@
     ts_quarantine_strike(q, &one, "b", BEGIN_US + 5, BEGIN_US + 20);
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + 20), TS_QUARANTINE_SUSPECT);
     ts_quarantine_strike(q, &one, "a", BEGIN_US + 10, BEGIN_US + S);
-    assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + S), TS_QUARANTINE_HELD);
+    assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + S), TS_QUARANTINE_QUARANTINED);
     ts_quarantine_destroy(q);
 }
 
@@ -56,16 +56,16 @@
     ts_time_us_t now_us = BEGIN_US;
     ts_quarantine_strike(q, &one, "a", now_us, now_us);
     ts_quarantine_strike(q, &one, "a", now_us, now_us);
-    assert_int_equal(ts_quarantine_find(q, &one, now_us + 599 * S), TS_QUARANTINE_HELD);
+    assert_int_equal(ts_quarantine_find(q, &one, now_us + 599 * S), TS_QUARANTINE_QUARANTINED);
     now_us += 600 * S;
     assert_int_equal(ts_quarantine_find(q, &one, now_us), TS_QUARANTINE_SUSPECT);
     ts_quarantine_strike(q, &one, "a", now_us, now_us);
-    assert_int_equal(ts_quarantine_find(q, &one, now_us + 1199 * S), TS_QUARANTINE_HELD);
+    assert_int_equal(ts_quarantine_find(q, &one, now_us + 1199 * S), TS_QUARANTINE_QUARANTINED);
     now_us += 1200 * S;
     assert_int_equal(ts_quarantine_find(q, &one, now_us), TS_QUARANTINE_SUSPECT);
     ts_quarantine_clear(q, &one, "a", now_us);
     assert_int_equal(ts_quarantine_find(q, &one, now_us), TS_QUARANTINE_CLEAR);
-    ts_quarantine_sweep(q, now_us + 31 * S);
+    ts_quarantine_expire(q, now_us + 31 * S);
     assert_true(ts_quarantine_is_empty(q));
     ts_quarantine_destroy(q);
 }
@@ -75,9 +75,9 @@
     ts_quarantine_t *q = ts_quarantine_create();
     ts_request_digest_t one = digest_of(1);
     ts_quarantine_suspect(q, &one, "a", BEGIN_US);
-    ts_quarantine_sweep(q, BEGIN_US + 600 * S);
+    ts_quarantine_expire(q, BEGIN_US + 600 * S);
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + 600 * S), TS_QUARANTINE_SUSPECT);
-    ts_quarantine_sweep(q, BEGIN_US + 601 * S);
+    ts_quarantine_expire(q, BEGIN_US + 601 * S);
     assert_true(ts_quarantine_is_empty(q));
     ts_quarantine_destroy(q);
 }
@@ -125,7 +125,7 @@
 static unsigned count_rows(const ts_quarantine_t *q, unsigned suspects_max)
 {
     unsigned rows = 0;
-    ts_quarantine_each(q, BEGIN_US, suspects_max, count_row, &rows);
+    ts_quarantine_foreach(q, BEGIN_US, suspects_max, count_row, &rows);
     return rows;
 }
 
@@ -136,15 +136,15 @@
     ts_request_digest_t held = digest_of(1);
     ts_quarantine_strike(q, &held, "a", BEGIN_US, BEGIN_US);
     ts_quarantine_strike(q, &held, "a", BEGIN_US, BEGIN_US);
-    uint64_t sum = ts_quarantine_sum(q, BEGIN_US);
+    uint64_t sum = ts_quarantine_checksum(q, BEGIN_US);
     for (uint32_t i = 2; i < 100002; i++) {
         ts_request_digest_t digest = digest_of(i);
         ts_quarantine_suspect(q, &digest, "a", BEGIN_US + i);
     }
-    assert_int_equal(ts_quarantine_find(q, &held, BEGIN_US + S), TS_QUARANTINE_HELD);
+    assert_int_equal(ts_quarantine_find(q, &held, BEGIN_US + S), TS_QUARANTINE_QUARANTINED);
     assert_int_equal(count_rows(q, UINT32_MAX / 2), 1025);
     assert_int_equal(count_rows(q, 64), 65); // what is told when nodes differ
-    assert_true(ts_quarantine_sum(q, BEGIN_US) == sum);
+    assert_true(ts_quarantine_checksum(q, BEGIN_US) == sum);
     ts_request_digest_t latest = digest_of(100001);
     assert_int_equal(ts_quarantine_find(q, &latest, BEGIN_US + S), TS_QUARANTINE_SUSPECT);
     ts_quarantine_destroy(q);
@@ -159,7 +159,7 @@
         ts_quarantine_strike(q, &digest, "a", BEGIN_US, BEGIN_US);
         ts_quarantine_strike(q, &digest, "a", BEGIN_US, BEGIN_US);
     }
-    assert_int_equal(ts_quarantine_count(q, TS_QUARANTINE_HELD, BEGIN_US), 1024);
+    assert_int_equal(ts_quarantine_count(q, TS_QUARANTINE_QUARANTINED, BEGIN_US), 1024);
     ts_request_digest_t last = digest_of(1099);
     assert_int_equal(ts_quarantine_find(q, &last, BEGIN_US), TS_QUARANTINE_SUSPECT);
     ts_quarantine_destroy(q);
@@ -230,7 +230,7 @@
     for (unsigned i = 0; i < NODES; i++) {
         nodes[i] = ts_quarantine_create();
         senders[i] = (sender_t){mails, i};
-        ts_quarantine_on_news(nodes[i], tell_others, &senders[i]);
+        ts_quarantine_set_publisher(nodes[i], tell_others, &senders[i]);
     }
     for (unsigned step = 0; step < STEPS; step++) {
         ts_time_us_t now_us = BEGIN_US + step * TS_US_PER_MS;
@@ -244,10 +244,10 @@
         }
     }
     for (unsigned i = 0; i < NODES; i++) { // each hears all that node 0 has, and node 0 of each
-        ts_quarantine_each(nodes[i], BEGIN_US + S, 1024, merge_into, nodes[0]);
+        ts_quarantine_foreach(nodes[i], BEGIN_US + S, 1024, merge_into, nodes[0]);
     }
     for (unsigned i = 1; i < NODES; i++)
-        ts_quarantine_each(nodes[0], BEGIN_US + S, 1024, merge_into, nodes[i]);
+        ts_quarantine_foreach(nodes[0], BEGIN_US + S, 1024, merge_into, nodes[i]);
     for (uint32_t i = 0; i < DIGESTS; i++) {
         ts_request_digest_t digest = digest_of(i);
         ts_quarantine_state_t wanted = ts_quarantine_find(nodes[0], &digest, BEGIN_US + 3 * S);
@@ -257,8 +257,8 @@
         }
     }
     for (unsigned i = 1; i < NODES; i++)
-        assert_true(ts_quarantine_sum(nodes[i], BEGIN_US + S) ==
-                    ts_quarantine_sum(nodes[0], BEGIN_US + S));
+        assert_true(ts_quarantine_checksum(nodes[i], BEGIN_US + S) ==
+                    ts_quarantine_checksum(nodes[0], BEGIN_US + S));
     for (unsigned i = 0; i < NODES; i++)
         ts_quarantine_destroy(nodes[i]);
     g_array_unref(mails);
@@ -283,7 +283,7 @@
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US), TS_QUARANTINE_CLEAR);
     late.epoch = 1;
     assert_true(ts_quarantine_merge(q, &late, BEGIN_US));
-    assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US), TS_QUARANTINE_HELD);
+    assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US), TS_QUARANTINE_QUARANTINED);
     assert_false(ts_quarantine_merge(q, &late, BEGIN_US)); // no news, not passed on
     ts_quarantine_destroy(q);
 }
@@ -295,7 +295,7 @@
     ts_request_digest_t one = digest_of(1);
     ts_quarantine_row_t row = {.digest = one, .strikes = 2, .age_ms = 590000, .service = "a"};
     assert_true(ts_quarantine_merge(q, &row, BEGIN_US));
-    assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + 9 * S), TS_QUARANTINE_HELD);
+    assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + 9 * S), TS_QUARANTINE_QUARANTINED);
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + 11 * S), TS_QUARANTINE_SUSPECT);
     ts_quarantine_destroy(q);
 }
--- a/tests/route/test_rate_limiter.c
+++ b/tests/route/test_rate_limiter.c
@@ -123,13 +123,13 @@
     fleet->homes[0] = fleet->n; // nobody knows one
     for (unsigned i = 0; i < fleet->n; i++) {
         node_t *node = &fleet->nodes[i];
-        ts_rate_row_t row = {.account = ACCOUNT, .ask = 1, .wanted = 3};
-        (void)ts_rate_limiter_take_ask(node->limiter, 1, node->address, &row, fleet->now_us);
+        ts_rate_message_t row = {.account = ACCOUNT, .sequence = 1, .wanted = 3};
+        (void)ts_rate_limiter_receive_claim(node->limiter, 1, node->address, &row, fleet->now_us);
     }
     run(fleet, 1);
     assert_int_equal(take_totals(fleet).taken, 0);
     for (unsigned i = 0; i < fleet->n; i++)
-        assert_int_equal(ts_rate_limiter_accounts(fleet->nodes[i].limiter), 0);
+        assert_int_equal(ts_rate_limiter_count_accounts(fleet->nodes[i].limiter), 0);
     fleet->homes[0] = home;
     load_nodes(fleet, 20, 10);
     run(fleet, 10);
@@ -290,12 +290,12 @@
     fleet_t *fleet = open_fleet(60, 40, 40);
     load_nodes(fleet, 10, 8);
     run(fleet, 10);
-    fleet->terms = (ts_rate_terms_t){4, 4, 24, 26};
+    fleet->terms = (ts_rate_params_t){4, 4, 24, 26};
     run(fleet, 5);
     memset(fleet->spent, 0, sizeof(fleet->spent));
     run(fleet, 10);
     assert_within_bound(fleet);
-    fleet->terms = (ts_rate_terms_t){40, 40, 240, 80};
+    fleet->terms = (ts_rate_params_t){40, 40, 240, 80};
     run(fleet, 1);
     (void)take_totals(fleet);
     run(fleet, 10);
@@ -310,29 +310,29 @@
     fleet->terms.tolerance = 0;
     node_t *node = &fleet->nodes[0];
     assert_int_equal(ts_rate_limiter_take(node->limiter, ACCOUNT, fleet->now_us), TS_RATE_TAKEN);
-    assert_int_equal(ts_rate_limiter_take(node->limiter, ACCOUNT, fleet->now_us), TS_RATE_OVER);
-    assert_true(ts_rate_limiter_wait_us(node->limiter, ACCOUNT, fleet->now_us) > 0);
-    ts_rate_limiter_return(node->limiter, ACCOUNT, fleet->now_us);
+    assert_int_equal(ts_rate_limiter_take(node->limiter, ACCOUNT, fleet->now_us), TS_RATE_EXCEEDED);
+    assert_true(ts_rate_limiter_retry_after_us(node->limiter, ACCOUNT, fleet->now_us) > 0);
+    ts_rate_limiter_refund(node->limiter, ACCOUNT, fleet->now_us);
     assert_int_equal(ts_rate_limiter_take(node->limiter, ACCOUNT, fleet->now_us), TS_RATE_TAKEN);
-    ts_rate_limiter_return(node->limiter, ACCOUNT, fleet->now_us + 10 * TS_US_PER_S);
-    assert_int_equal(ts_rate_limiter_take(node->limiter, ACCOUNT, fleet->now_us), TS_RATE_OVER);
+    ts_rate_limiter_refund(node->limiter, ACCOUNT, fleet->now_us + 10 * TS_US_PER_S);
+    assert_int_equal(ts_rate_limiter_take(node->limiter, ACCOUNT, fleet->now_us), TS_RATE_EXCEEDED);
     close_fleet(fleet);
 }
 
 /* What lies unspent at other nodes takes room in the bucket: it does not fill up beside them. */
 static void test_tokens_in_hands_take_room(void **state)
 {
-    const ts_rate_terms_t terms = {10, 10, 60, 0};
-    const ts_rate_standing_t standing = {.begun_us = 1, .changed_us = 1};
+    const ts_rate_params_t terms = {10, 10, 60, 0};
+    const ts_rate_view_history_t standing = {.begun_us = 1, .changed_us = 1};
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     ts_rate_account_t account;
     unsigned in_hands = 0;
     ts_rate_account_open(&account, &terms, &standing, now_us);
     for (uint64_t node = 1; node <= 20; node++) {
-        ts_rate_claim_t claim = {.node = node, .ask = 1, .wanted = 100};
+        ts_rate_claim_t claim = {.node = node, .sequence = 1, .wanted = 100};
         if (node == 2)
             now_us += 2 * TS_US_PER_S; // twice the bucket has come in
-        in_hands += ts_rate_account_deal(&account, &terms, &claim, now_us).tokens;
+        in_hands += ts_rate_account_grant(&account, &terms, &claim, now_us).tokens;
     }
     assert_true(in_hands >= 10);
     assert_true(in_hands <= 11); // one may always lie at home
@@ -342,43 +342,44 @@
 /* What was withheld for a node that was silent, and didn't spend, fills the bucket and no more. */
 static void test_what_was_withheld_comes_back(void **state)
 {
-    const ts_rate_terms_t terms = {10, 10, 60, 0};
-    const ts_rate_standing_t standing = {.begun_us = 1};
+    const ts_rate_params_t terms = {10, 10, 60, 0};
+    const ts_rate_view_history_t standing = {.begun_us = 1};
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     ts_rate_account_t account;
-    ts_rate_claim_t quiet = {.node = 1, .address = 1, .ask = 1, .used = 8, .right = 0};
-    ts_rate_claim_t other = {.node = 2, .address = 2, .ask = 1};
+    ts_rate_claim_t quiet = {
+        .node = 1, .address = 1, .sequence = 1, .request_rate = 8, .fallback_rate = 0};
+    ts_rate_claim_t other = {.node = 2, .address = 2, .sequence = 1};
     ts_rate_account_open(&account, &terms, &standing, now_us);
-    double right = ts_rate_account_deal(&account, &terms, &quiet, now_us).right;
+    double right = ts_rate_account_grant(&account, &terms, &quiet, now_us).fallback_rate;
     assert_true(right >= 8);
     for (unsigned i = 0; i < 5; i++) {
         now_us += TS_US_PER_S;
-        other.ask++;
-        (void)ts_rate_account_deal(&account, &terms, &other, now_us);
+        other.sequence++;
+        (void)ts_rate_account_grant(&account, &terms, &other, now_us);
     }
-    quiet.ask++;
-    quiet.right = right;
+    quiet.sequence++;
+    quiet.fallback_rate = right;
     quiet.wanted = 100;
-    assert_true(ts_rate_account_deal(&account, &terms, &quiet, now_us).tokens <= 10);
+    assert_true(ts_rate_account_grant(&account, &terms, &quiet, now_us).tokens <= 10);
     ts_rate_account_clear(&account);
 }
 
 /* What was dealt counts from when it was asked for, and is void before the home forgets it. */
 static void test_lease_lapses(void **state)
 {
-    const ts_rate_terms_t terms = {10, 10, 60, 0};
-    const ts_rate_deal_t deal = {.tokens = 2, .valid_us = 2 * TS_US_PER_S};
+    const ts_rate_params_t terms = {10, 10, 60, 0};
+    const ts_rate_grant_t deal = {.tokens = 2, .valid_us = 2 * TS_US_PER_S};
     ts_time_us_t asked_us = 100 * TS_US_PER_S;
     ts_rate_lease_t lease;
     ts_rate_lease_open(&lease, 1, asked_us);
-    uint32_t ask = ts_rate_lease_note_ask(&lease, true, asked_us);
-    ts_rate_lease_take_deal(&lease, &terms, ask, &deal, asked_us + 900 * TS_US_PER_MS);
+    uint32_t ask = ts_rate_lease_record_claim(&lease, true, asked_us);
+    ts_rate_lease_receive_grant(&lease, &terms, ask, &deal, asked_us + 900 * TS_US_PER_MS);
     ts_time_us_t late_us = asked_us + 1900 * TS_US_PER_MS;
-    assert_int_equal(ts_rate_lease_in_hand(&lease, late_us), 2);
+    assert_int_equal(ts_rate_lease_valid_tokens(&lease, late_us), 2);
     assert_int_equal(ts_rate_lease_take(&lease, &terms, late_us), TS_RATE_TAKEN);
     ts_time_us_t void_us = asked_us + 2100 * TS_US_PER_MS;
-    assert_int_equal(ts_rate_lease_in_hand(&lease, void_us), 0);
-    assert_int_equal(ts_rate_lease_take(&lease, &terms, void_us), TS_RATE_WAITS);
+    assert_int_equal(ts_rate_lease_valid_tokens(&lease, void_us), 0);
+    assert_int_equal(ts_rate_lease_take(&lease, &terms, void_us), TS_RATE_PENDING);
 }
 
 static void test_idle_state_is_forgotten(void **state)
@@ -386,12 +387,12 @@
     fleet_t *fleet = open_fleet(3, 16, 16);
     load_nodes(fleet, 3, 2);
     run(fleet, 2);
-    assert_int_equal(ts_rate_limiter_accounts(fleet->nodes[fleet->homes[0]].limiter), 1);
+    assert_int_equal(ts_rate_limiter_count_accounts(fleet->nodes[fleet->homes[0]].limiter), 1);
     load_nodes(fleet, 0, 0);
     run(fleet, 200);
     for (unsigned i = 0; i < fleet->n; i++) {
-        assert_int_equal(ts_rate_limiter_accounts(fleet->nodes[i].limiter), 0);
-        assert_int_equal(ts_rate_limiter_leases(fleet->nodes[i].limiter), 0);
+        assert_int_equal(ts_rate_limiter_count_accounts(fleet->nodes[i].limiter), 0);
+        assert_int_equal(ts_rate_limiter_count_leases(fleet->nodes[i].limiter), 0);
     }
     close_fleet(fleet);
 }
--- a/tests/route/test_retry_budget.c
+++ b/tests/route/test_retry_budget.c
@@ -46,7 +46,7 @@
     assert_true(ts_retry_budget_take(&budget, &rule, now_us));
     assert_true(ts_retry_budget_take(&budget, &rule, now_us));
     assert_false(ts_retry_budget_take(&budget, &rule, now_us));
-    ts_retry_budget_return(&budget);
+    ts_retry_budget_refund(&budget);
     assert_true(ts_retry_budget_take(&budget, &rule, now_us));
 }
 
