--- a/include/tealspar/byte_account.h
+++ b/include/tealspar/byte_account.h
@@ -8,7 +8,7 @@
 #include <glib.h>
 #include <stddef.h>
 
-#include "tealspar/travel.h"
+#include "tealspar/rtt.h"
 
 /* X(symbol, name, description) */
 #define TS_BYTE_CAUSE_TABLE(X)                                                                     \
--- a/include/tealspar/patience.h
+++ b/include/tealspar/caller_timeouts.h
@@ -4,8 +4,8 @@
  * rather than the maximum, so that a few callers with a huge timeout don't make all others look
  * like retries.
  */
-#ifndef TEALSPAR_PATIENCE_H
-#define TEALSPAR_PATIENCE_H
+#ifndef TEALSPAR_CALLER_TIMEOUTS_H
+#define TEALSPAR_CALLER_TIMEOUTS_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/include/tealspar/registry.h
+++ b/include/tealspar/registry.h
@@ -18,9 +18,9 @@
 #include "tealspar/cold_share.h"
 #include "tealspar/error.h"
 #include "tealspar/evidence.h"
+#include "tealspar/reported_load.h"
 #include "tealspar/retry_budget.h"
-#include "tealspar/told_load.h"
-#include "tealspar/travel.h"
+#include "tealspar/rtt.h"
 
 /** Names one life of a searcher, between nodes too. */
 typedef struct ts_life {
--- a/include/tealspar/told_load.h
+++ b/include/tealspar/reported_load.h
@@ -1,6 +1,6 @@
 /** Load that a backend reports with a response. */
-#ifndef TEALSPAR_TOLD_LOAD_H
-#define TEALSPAR_TOLD_LOAD_H
+#ifndef TEALSPAR_REPORTED_LOAD_H
+#define TEALSPAR_REPORTED_LOAD_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/include/tealspar/route_state.h
+++ b/include/tealspar/route_state.h
@@ -7,8 +7,8 @@
 
 #include <glib.h>
 
+#include "tealspar/caller_timeouts.h"
 #include "tealspar/histogram.h"
-#include "tealspar/patience.h"
 #include "tealspar/quantile.h"
 #include "tealspar/traffic.h"
 
--- a/include/tealspar/travel.h
+++ b/include/tealspar/rtt.h
@@ -2,8 +2,8 @@
  * Estimate of the network round-trip time to a zone, from connection set-up times. There is one for
  * each zone that has backends.
  */
-#ifndef TEALSPAR_TRAVEL_H
-#define TEALSPAR_TRAVEL_H
+#ifndef TEALSPAR_RTT_H
+#define TEALSPAR_RTT_H
 
 #include "tealspar/clock.h"
 #include "tealspar/quantile.h"
--- a/src/route/patience.c
+++ b/src/route/caller_timeouts.c
@@ -1,5 +1,5 @@
 /** Typical timeout of callers. */
-#include "tealspar/patience.h"
+#include "tealspar/caller_timeouts.h"
 
 #include <glib.h>
 
--- a/src/route/told_load.c
+++ b/src/route/reported_load.c
@@ -1,5 +1,5 @@
 /** Load reported by a backend. */
-#include "tealspar/told_load.h"
+#include "tealspar/reported_load.h"
 
 bool ts_reported_load_is_idle(const ts_reported_load_t *load)
 {
--- a/src/route/travel.c
+++ b/src/route/rtt.c
@@ -1,5 +1,5 @@
 /** Estimate of the round-trip time to a zone. */
-#include "tealspar/travel.h"
+#include "tealspar/rtt.h"
 
 #define RTT_QUANTILE 0.25
 
