--- a/src/route/evidence.c
+++ b/src/route/evidence.c
@@ -14,8 +14,7 @@
 /* Time ratios are clamped to this range; more extreme ones carry no further information. */
 #define RATIO_MIN 0.25
 #define RATIO_MAX 16.0
-/* A response with a higher time ratio counts as slow; 1 in 200 responses of a healthy instance do.
- */
+/* Responses with a higher time ratio count as slow; for a healthy instance these are 1 in 200. */
 #define SLOW_RATIO 2.5
 /* Thresholds above which an instance counts as anomalous. */
 #define ANOMALOUS_FAILURE_RATE 0.08
--- a/src/route/policy_adaptive.c
+++ b/src/route/policy_adaptive.c
@@ -27,8 +27,8 @@
 /* Earlier hedges would only duplicate fast requests. */
 #define HEDGE_MIN_US 1000
 #define PERCENT 100.0
-/* Wait rule 'gain': past this latency quantile the remaining shards are stragglers. The wait ends
- * at the quantile times this factor. */
+/* Wait rule 'gain': the wait ends at this multiple of a latency quantile, past which the remaining
+ * shards are stragglers. */
 #define GAIN_QUANTILE 0.99
 #define GAIN_WAIT_FACTOR 2.0
 
--- a/src/route/quarantine.c
+++ b/src/route/quarantine.c
@@ -260,7 +260,7 @@
                            const char *service, ts_time_us_t now_us)
 {
     if (ts_quarantine_find(quarantine, digest, now_us) == TS_QUARANTINE_QUARANTINED)
-        return; // sent before the request was quarantined
+        return; // the broken sends date from before the quarantine
     publish(quarantine, mark_suspect(quarantine, digest, service, now_us), now_us);
 }
 
--- a/src/route/rate_account.c
+++ b/src/route/rate_account.c
@@ -32,8 +32,8 @@
  * once, and no ramp is needed.
  */
 #define RAMP_US (6 * TS_US_PER_S)
-/* Limit of the initial tokens, on top of what accrued since this process started: before a restart
- * it may itself have been home. */
+/* After a start, initial tokens are limited to this plus what accrued since, as the process may
+ * have been home before a restart. */
 #define RESTART_TOKENS 1.0
 /* One token must fit into the bucket, or nothing is ever granted. */
 #define CAPACITY_MIN 1.0
@@ -61,10 +61,10 @@
     unsigned in_hand;
     bool is_local;        /* this is the home node itself */
     bool is_alone;        /* `fallback_rate` is not lent to this home, by its latest claim */
-    double fallback_rate; /* its fallback rate, in tokens per second */
+    double fallback_rate; /* tokens per second */
     double request_rate;  /* requests per second */
-    double foreign_rate;  /* part of `fallback_rate` assigned by another issuer, which then does not
-                             spend it */
+    double
+        foreign_rate; /* part of `fallback_rate` that another issuer assigned and does not spend */
     uint64_t foreign_issuer; /* that issuer */
     ts_rate_allowance_t allowance;
     double assumed_spent;          /* tokens debited since its latest claim, as assumed spending */
@@ -234,10 +234,10 @@
                          ts_time_us_t now_us)
 {
     double fallback_rate = holder->fallback_rate;
-    uint64_t giver = ts_rate_issuer_id(holder->address, true);
+    uint64_t issuer_id = ts_rate_issuer_id(holder->address, true);
     for (guint i = 0; i < account->holders->len; i++) {
         const holder_t *other = &g_array_index(account->holders, holder_t, i);
-        if (other->foreign_issuer == giver && !may_spend_alone(other, now_us))
+        if (other->foreign_issuer == issuer_id && !may_spend_alone(other, now_us))
             fallback_rate -= other->foreign_rate;
     }
     return MAX(fallback_rate, 0);
--- a/src/route/rate_lease.c
+++ b/src/route/rate_lease.c
@@ -201,9 +201,9 @@
     unsigned in_hand = ts_rate_lease_valid_tokens(lease, now_us);
     unsigned wanted = ts_rate_lease_target_tokens(lease, params, now_us);
     // After a fallback rate was withdrawn, claims are sent until one has reported that it is gone.
-    bool has_right =
+    bool has_fallback_rate =
         MAX(ts_rate_lease_fallback_rate(lease, now_us), lease->reported_fallback_rate) > 0;
-    if (has_right && now_us - lease->claim_sent_us > RENEW_FALLBACK_US)
+    if (has_fallback_rate && now_us - lease->claim_sent_us > RENEW_FALLBACK_US)
         return true;
     if (wanted == 0)
         return false;
@@ -232,7 +232,7 @@
 {
     bool is_free = !ts_rate_lease_is_lent_elsewhere(lease, issuer, now_us);
     if (lease->issuer != issuer)
-        lease->unanswered_since_us = 0; // the previous issuer did not answer
+        lease->unanswered_since_us = 0; // the silence was the previous issuer's
     lease->issuer = issuer;
     lease->is_fallback_lent = is_free && !is_issuer_silent(lease, now_us);
     if (!lease->is_fallback_lent)
@@ -247,8 +247,8 @@
 static double remove_saved(ts_rate_lease_t *lease, const ts_rate_params_t *params,
                            ts_time_us_t now_us)
 {
-    double kept = ts_rate_saved(params, ts_rate_lease_fallback_rate(lease, now_us));
-    double saved = MAX(lease->fallback_tokens - kept, 0);
+    double retained = ts_rate_saved(params, ts_rate_lease_fallback_rate(lease, now_us));
+    double saved = MAX(lease->fallback_tokens - retained, 0);
     lease->fallback_tokens -= saved;
     lease->saved_state = TS_RATE_SAVED_NONE;
     return saved;
@@ -266,9 +266,9 @@
     if (was_alone) {
         refill_fallback(lease, params, now_us);
         lease->saved_state = TS_RATE_SAVED_KEPT;
+        // The same issuer as before debited these tokens and refunds what was not spent.
         if (!lease->has_moved)
-            (void)remove_saved(lease, params,
-                               now_us); // this issuer debited them and refunds the unspent
+            (void)remove_saved(lease, params, now_us);
         return 0;
     }
     if (lease->saved_state != TS_RATE_SAVED_DUE)
@@ -307,11 +307,12 @@
                                  ts_time_us_t now_us)
 {
     bool is_old = now_us + FALLBACK_OLD_US > lease->fallback_until_us;
-    uint64_t giver = ts_rate_issuer_id(lease->issuer, grant->is_sublet);
-    if (lease->fallback_issuer != giver && !is_old && grant->fallback_rate < lease->fallback_rate)
+    uint64_t issuer_id = ts_rate_issuer_id(lease->issuer, grant->is_sublet);
+    if (lease->fallback_issuer != issuer_id && !is_old &&
+        grant->fallback_rate < lease->fallback_rate)
         return;
     lease->fallback_rate = grant->fallback_rate;
-    lease->fallback_issuer = giver;
+    lease->fallback_issuer = issuer_id;
     lease->fallback_until_us = lease->claim_pending_us + FALLBACK_VALID_US;
 }
 
--- a/src/route/rate_limiter.c
+++ b/src/route/rate_limiter.c
@@ -270,8 +270,9 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         zone_node_t *zone_node = value;
         assume_spending(held, zone_node, now_us);
+        // The entry stays, as `spent_alone` is a running total.
         if (now_us - zone_node->heard_us > FALLBACK_TIMEOUT_US)
-            zone_node->fallback_rate = 0; // keeps the entry: `spent_alone` is a running total
+            zone_node->fallback_rate = 0;
         held->lease.sublet_rate += zone_node->fallback_rate;
         bool is_recent = now_us - zone_node->heard_us < REQUEST_RATE_VALID_US;
         sums.request_rate += is_recent ? zone_node->request_rate : 0;
@@ -400,9 +401,9 @@
     held_lease_t *held = ensure_lease(limiter, account, now_us);
     ts_rate_verdict_t verdict = ts_rate_lease_take(&held->lease, &params, now_us);
     claim_if_due(limiter, held, &params, now_us);
+    // If this node is the home, its claim has been answered by now.
     if (verdict == TS_RATE_PENDING)
-        verdict =
-            ts_rate_lease_take(&held->lease, &params, now_us); // succeeds if this node is the home
+        verdict = ts_rate_lease_take(&held->lease, &params, now_us);
     if (verdict == TS_RATE_EXCEEDED || verdict == TS_RATE_TAKEN)
         update_limit_state(limiter, held, &params, verdict == TS_RATE_EXCEEDED, now_us);
     return verdict;
@@ -442,13 +443,12 @@
     double fallback_rate = MIN(share, left);
     if (fallback_rate < TS_RATE_MIN_FALLBACK_RATE)
         fallback_rate = 0;
-    zone_node->fallback_rate = MAX(
-        fallback_rate, zone_node->fallback_rate); // it may use the previous one until it gets this
+    // The node may use its previous fallback rate until the grant arrives.
+    zone_node->fallback_rate = MAX(fallback_rate, zone_node->fallback_rate);
     return fallback_rate;
 }
 
-/* Answers a claim from the lease; returns false if this node's own claim has to be answered first.
- */
+/* Answers a claim from the lease; false if this node's own claim has to be answered first. */
 static bool answer_from_lease(ts_rate_limiter_t *limiter, held_lease_t *held,
                               const ts_rate_params_t *params, const queued_claim_t *queued,
                               ts_time_us_t now_us)
--- a/src/route/replica.c
+++ b/src/route/replica.c
@@ -8,8 +8,7 @@
 #define AVOIDED_COST_US 600000.0
 #define LEAVING_COST_US 1200000.0
 #define WARMUP_FACTOR 1.6
-/* Cost of a failed response in service times: the request is retried, at the expense of the budget.
- */
+/* Cost of a failed response, in service times: it takes a retry from the budget. */
 #define FAILED_COST_RATIO 10.0
 /* A suspected instance gets a probe request after this time since the last one. */
 #define PROBE_INTERVAL_US (1000 * TS_US_PER_MS)
@@ -98,8 +97,7 @@
     bool is_warmup_limited = ts_instance_is_cold_bound(instance, input->now_us);
     if (is_warmup_limited && !ts_cold_window_has_room(&instance->cold, input->now_us))
         return true;
-    /* The learned limits of all nodes together always allow filling the slots and a queue as long.
-     */
+    /* The limits of all nodes together always allow filling the slots and a queue as long. */
     double slots_share = MIN_REQUESTS_PER_SLOT * instance->slots / (double)input->nodes;
     double limit_min = MAX(ceil(slots_share), 1);
     double limit =
--- a/src/route/retry_budget.c
+++ b/src/route/retry_budget.c
@@ -4,8 +4,8 @@
 #include <glib.h>
 #include <string.h>
 
-/* Share of the ratio that is used. The rest covers requests that other nodes count in other slices.
- */
+/* Share of the ratio that is used. The margin is for requests that other nodes count in another
+ * slice. */
 #define RATIO_SAFETY 0.85
 /* Retries that a lender keeps for itself. */
 #define LENDER_RESERVE 1.0
--- a/src/route/route_state.c
+++ b/src/route/route_state.c
@@ -9,8 +9,8 @@
 #define TARGET_LATENCY_DEFAULT_MS 500
 #define US_PER_MS 1000.0
 /*
- * Upper bound on the overdue time, in medians. When some instances are slow, the quantile reflects
- * only their response times.
+ * Upper bound on the overdue time, in medians: when some instances are slow, the quantile is the
+ * response time of the slow ones.
  */
 #define OVERDUE_MEDIANS_MAX 2.5
 /* Starting positions of the round robin. With weights in percent it repeats after 100 turns. */
--- a/src/route/slowness.c
+++ b/src/route/slowness.c
@@ -1,5 +1,4 @@
-/** Estimates of an instance's slowness, failure rate and warm-up state, from data of src/registry.
- */
+/** Latency ratio, failure rate and warm-up state of an instance, from data of src/registry. */
 #include "tealspar/mechanism.h"
 #include "tealspar/registry.h"
 
