--- a/src/route/replica.c
+++ b/src/route/replica.c
@@ -1,4 +1,4 @@
-/** The choice of an instance. */
+/** Selection of an instance. */
 #include "tealspar/replica.h"
 
 #include <glib.h>
@@ -8,12 +8,13 @@
 #define AVOIDED_COST_US 600000.0
 #define LEAVING_COST_US 1200000.0
 #define WARMUP_FACTOR 1.6
-/* What a failed answer costs, in times of such a request: it is sent once more, from the budget. */
+/* Cost of a failed response, in service times: it takes a retry from the budget. */
 #define FAILED_COST_RATIO 10.0
-/* A suspected instance is given one request after so long without an answer. */
-#define RETRY_SUSPECTED_US (1000 * TS_US_PER_MS)
-/* How often the nodes together fill an instance's slots when their limits are at the lowest. */
-#define SLOTS_FILLED 2.0
+/* A suspected instance gets a probe request after this time since the last one. */
+#define PROBE_INTERVAL_US (1000 * TS_US_PER_MS)
+/* Requests per slot that all nodes together may have in flight at their lowest limits. */
+#define MIN_REQUESTS_PER_SLOT 2.0
+/* Random cost to break ties, as a share of the service time. */
 #define TIE_SHARE 0.04
 #define RANDOM_RANGE 1024U
 
@@ -26,22 +27,22 @@
     return regions == NULL;
 }
 
-ts_obstacle_t ts_replica_find_obstacle(const ts_instance_t *instance,
-                                       const ts_replica_input_t *input)
+ts_exclusion_t ts_replica_find_exclusion(const ts_instance_t *instance,
+                                         const ts_replica_input_t *input)
 {
     bool is_leaving = instance->is_draining || !instance->is_listed;
     if (!is_permitted(instance, input->regions))
-        return TS_OBSTACLE_PLACEMENT;
+        return TS_EXCLUSION_PLACEMENT;
     if (instance->is_evacuated)
-        return TS_OBSTACLE_EVACUATION;
+        return TS_EXCLUSION_EVACUATION;
     if (is_leaving && input->now_us - instance->left_us >= input->drain_us)
-        return TS_OBSTACLE_LEAVING;
-    return TS_OBSTACLE_NONE;
+        return TS_EXCLUSION_DRAINED;
+    return TS_EXCLUSION_NONE;
 }
 
 bool ts_replica_is_usable(const ts_instance_t *instance, const ts_replica_input_t *input)
 {
-    return ts_replica_find_obstacle(instance, input) == TS_OBSTACLE_NONE;
+    return ts_replica_find_exclusion(instance, input) == TS_EXCLUSION_NONE;
 }
 
 bool ts_replica_is_excluded(const ts_service_t *service, const ts_replica_input_t *input)
@@ -49,15 +50,15 @@
     bool has_listed = false;
     for (guint i = 0; i < service->instances->len; i++) {
         const ts_instance_t *instance = g_ptr_array_index(service->instances, i);
-        ts_obstacle_t obstacle = ts_replica_find_obstacle(instance, input);
-        if (obstacle != TS_OBSTACLE_PLACEMENT && obstacle != TS_OBSTACLE_EVACUATION)
+        ts_exclusion_t exclusion = ts_replica_find_exclusion(instance, input);
+        if (exclusion != TS_EXCLUSION_PLACEMENT && exclusion != TS_EXCLUSION_EVACUATION)
             return false;
         has_listed |= instance->is_listed;
     }
     return has_listed;
 }
 
-/* Share of a service time that new work waits for what this node has there already. */
+/* Expected queueing delay behind this node's requests in flight, in service times. */
 static double queue_factor(const ts_instance_t *instance)
 {
     double slots = instance->slots > 0 ? instance->slots : 1;
@@ -65,20 +66,21 @@
     return load < 1 ? load * load / 2 : load;
 }
 
-static bool is_due_for_trial(const ts_instance_t *instance, ts_time_us_t now_us)
+static bool is_probe_due(const ts_instance_t *instance, ts_time_us_t now_us)
 {
-    return now_us - instance->tried_us > RETRY_SUSPECTED_US;
+    return now_us - instance->tried_us > PROBE_INTERVAL_US;
 }
 
 double ts_replica_cost(const ts_instance_t *instance, const ts_replica_input_t *input)
 {
-    double work_us = input->work_us * ts_instance_slowness(instance, input->now_us);
+    double work_us = input->work_us * ts_instance_latency_ratio(instance, input->now_us);
     if (instance->warm_at_us > input->now_us) {
         work_us *= WARMUP_FACTOR;
     }
-    double cost_us = ts_travel_us(instance->travel) + work_us * (1 + queue_factor(instance));
-    cost_us += ts_instance_failing(instance, input->now_us) * FAILED_COST_RATIO * input->work_us;
-    if (instance->suspected_us != 0 && !is_due_for_trial(instance, input->now_us)) {
+    double cost_us = ts_rtt_estimate_us(instance->travel) + work_us * (1 + queue_factor(instance));
+    cost_us +=
+        ts_instance_failure_rate(instance, input->now_us) * FAILED_COST_RATIO * input->work_us;
+    if (instance->suspected_us != 0 && !is_probe_due(instance, input->now_us)) {
         cost_us += SUSPECTED_COST_US;
     }
     if (instance->avoid_until_us > input->now_us) {
@@ -92,15 +94,15 @@
 
 bool ts_replica_is_full(const ts_instance_t *instance, const ts_replica_input_t *input)
 {
-    bool is_bound = ts_instance_is_cold_bound(instance, input->now_us);
-    if (is_bound && !ts_cold_window_has_room(&instance->cold, input->now_us))
+    bool is_warmup_limited = ts_instance_is_cold_bound(instance, input->now_us);
+    if (is_warmup_limited && !ts_cold_window_has_room(&instance->cold, input->now_us))
         return true;
-    /* Whatever was learned, the nodes together may fill the instance's slots and queue as much. */
-    double slots_share = SLOTS_FILLED * instance->slots / (double)input->nodes;
-    double least = MAX(ceil(slots_share), 1);
-    double learned =
-        instance->limit > 0 ? MAX(floor(instance->limit), least) : input->connections_max;
-    return instance->in_flight >= MIN(learned, input->connections_max);
+    /* The limits of all nodes together always allow filling the slots and a queue as long. */
+    double slots_share = MIN_REQUESTS_PER_SLOT * instance->slots / (double)input->nodes;
+    double limit_min = MAX(ceil(slots_share), 1);
+    double limit =
+        instance->limit > 0 ? MAX(floor(instance->limit), limit_min) : input->connections_max;
+    return instance->in_flight >= MIN(limit, input->connections_max);
 }
 
 static bool is_among(const ts_instance_t *instance, ts_instance_t *const *tried, unsigned count)
@@ -151,22 +153,23 @@
     return false;
 }
 
-ts_replica_census_t ts_replica_count(const ts_service_t *service, const ts_replica_input_t *input)
+ts_replica_summary_t ts_replica_summarize(const ts_service_t *service,
+                                          const ts_replica_input_t *input)
 {
-    ts_replica_census_t census = {.listed = service->instances->len};
+    ts_replica_summary_t summary = {.listed = service->instances->len};
     for (guint i = 0; i < service->instances->len; i++) {
         const ts_instance_t *instance = g_ptr_array_index(service->instances, i);
-        ts_obstacle_t obstacle = ts_replica_find_obstacle(instance, input);
-        bool is_usable = obstacle == TS_OBSTACLE_NONE;
+        ts_exclusion_t exclusion = ts_replica_find_exclusion(instance, input);
+        bool is_usable = exclusion == TS_EXCLUSION_NONE;
         bool is_full = is_usable && ts_replica_is_full(instance, input);
-        census.in_flight += instance->in_flight;
-        census.misplaced += obstacle == TS_OBSTACLE_PLACEMENT;
-        census.evacuated += obstacle == TS_OBSTACLE_EVACUATION;
-        census.leaving += obstacle == TS_OBSTACLE_LEAVING;
-        census.full += is_full;
-        census.avoided += is_usable && !is_full && instance->avoid_until_us > input->now_us;
+        summary.in_flight += instance->in_flight;
+        summary.misplaced += exclusion == TS_EXCLUSION_PLACEMENT;
+        summary.evacuated += exclusion == TS_EXCLUSION_EVACUATION;
+        summary.leaving += exclusion == TS_EXCLUSION_DRAINED;
+        summary.full += is_full;
+        summary.avoided += is_usable && !is_full && instance->avoid_until_us > input->now_us;
     }
-    return census;
+    return summary;
 }
 
 bool ts_replica_is_worth_waiting(const ts_service_t *service, const ts_replica_input_t *input,
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -1,4 +1,4 @@
-/** Parts of the routing decision that all policies share. */
+/** Routing functions shared by all policies. */
 #include "tealspar/route.h"
 
 #include <math.h>
@@ -6,11 +6,11 @@
 #include "tealspar/hash.h"
 
 #define PERCENT 100.0
-/* Guards the rounding of percentages such as 99.9 of 1000 shards. */
+/* Compensates for rounding errors of percentages such as 99.9 % of 1000 shards. */
 #define ROUNDING 1e-9
-/* In balance about one query in ten that is let through fails for overload. */
-#define PASS_FALL 0.05
-#define PASS_RISE 0.006
+/* In equilibrium about one in ten admitted queries fails because of overload. */
+#define SHED_DECREASE 0.05
+#define SHED_INCREASE 0.006
 #define RANDOM_SCALE 18446744073709551616.0
 
 double ts_route_coverage_percent(uint32_t covered, uint32_t shards)
@@ -18,7 +18,7 @@
     return shards == 0 ? 0.0 : PERCENT * covered / shards;
 }
 
-uint32_t ts_route_least_shards(const ts_selector_t *selector, uint32_t shards)
+uint32_t ts_route_min_shards(const ts_selector_t *selector, uint32_t shards)
 {
     return (uint32_t)ceil(selector->least_coverage_percent * shards / PERCENT - ROUNDING);
 }
@@ -28,9 +28,9 @@
     if (input->covered == input->shards) {
         return TS_STOP_COMPLETE;
     }
-    uint32_t least = ts_route_least_shards(input->selector, input->shards);
-    if (input->covered + input->possible < least) {
-        return TS_STOP_HOPELESS;
+    uint32_t shards_min = ts_route_min_shards(input->selector, input->shards);
+    if (input->covered + input->possible < shards_min) {
+        return TS_STOP_UNREACHABLE;
     }
     if (input->possible == 0) {
         return TS_STOP_ENOUGH;
@@ -47,7 +47,7 @@
     budget->burst = burst;
 }
 
-void ts_budget_earn(ts_budget_t *budget, double percent, uint32_t sent)
+void ts_budget_credit(ts_budget_t *budget, double percent, uint32_t sent)
 {
     budget->tokens += percent * sent / PERCENT;
     if (budget->tokens > budget->burst) {
@@ -64,20 +64,21 @@
     return true;
 }
 
-void ts_pass_init(ts_pass_t *pass)
+void ts_shedder_init(ts_shedder_t *shedder)
 {
-    pass->part = 1.0;
+    shedder->admit_ratio = 1.0;
 }
 
-bool ts_pass_admits(const ts_pass_t *pass, uint64_t random)
+bool ts_shedder_admits(const ts_shedder_t *shedder, uint64_t random)
 {
-    return pass->part >= 1.0 || (double)random / RANDOM_SCALE < pass->part;
+    return shedder->admit_ratio >= 1.0 || (double)random / RANDOM_SCALE < shedder->admit_ratio;
 }
 
-void ts_pass_learn(ts_pass_t *pass, bool has_failed_for_overload)
+void ts_shedder_record(ts_shedder_t *shedder, bool has_failed_for_overload)
 {
-    pass->part = has_failed_for_overload ? pass->part * (1.0 - PASS_FALL) : pass->part + PASS_RISE;
-    pass->part = fmin(fmax(pass->part, TS_PASS_LEAST), 1.0);
+    shedder->admit_ratio = has_failed_for_overload ? shedder->admit_ratio * (1.0 - SHED_DECREASE)
+                                                   : shedder->admit_ratio + SHED_INCREASE;
+    shedder->admit_ratio = fmin(fmax(shedder->admit_ratio, TS_SHEDDER_MIN_RATIO), 1.0);
 }
 
 bool ts_route_is_overload(ts_error_t error)
@@ -104,8 +105,8 @@
     return false;
 }
 
-static ts_snapshot_choice_t weigh_snapshot(const ts_shard_versions_t *shards, size_t count,
-                                           uint64_t snapshot)
+static ts_snapshot_choice_t count_shards(const ts_shard_versions_t *shards, size_t count,
+                                         uint64_t snapshot)
 {
     ts_snapshot_choice_t choice = {snapshot, 0, 0};
     for (size_t i = 0; i < count; i++) {
@@ -120,10 +121,10 @@
 
 static bool is_better(const ts_snapshot_choice_t *left, const ts_snapshot_choice_t *right)
 {
-    uint32_t left_reach = left->covered + left->possible;
-    uint32_t right_reach = right->covered + right->possible;
-    if (left_reach != right_reach) {
-        return left_reach > right_reach;
+    uint32_t left_max = left->covered + left->possible;
+    uint32_t right_max = right->covered + right->possible;
+    if (left_max != right_max) {
+        return left_max > right_max;
     }
     if (left->covered != right->covered) {
         return left->covered > right->covered;
@@ -131,7 +132,7 @@
     return left->snapshot > right->snapshot;
 }
 
-/* Lists the distinct versions answered; returns how many. */
+/* Lists the distinct versions in answers; returns their number. */
 static size_t list_snapshots(const ts_shard_versions_t *shards, size_t count, uint64_t *found)
 {
     size_t found_count = 0;
@@ -154,10 +155,10 @@
 {
     uint64_t snapshots[TS_SNAPSHOTS_MAX];
     size_t snapshot_count = list_snapshots(shards, count, snapshots);
-    ts_snapshot_choice_t best = weigh_snapshot(shards, count, UINT64_MAX);
+    ts_snapshot_choice_t best = count_shards(shards, count, UINT64_MAX);
     best.snapshot = 0;
     for (size_t i = 0; i < snapshot_count; i++) {
-        ts_snapshot_choice_t choice = weigh_snapshot(shards, count, snapshots[i]);
+        ts_snapshot_choice_t choice = count_shards(shards, count, snapshots[i]);
         if (best.snapshot == 0 || is_better(&choice, &best)) {
             best = choice;
         }
--- a/src/route/told_load.c
+++ /dev/null
@@ -1,7 +0,0 @@
-/** What told load says. */
-#include "tealspar/told_load.h"
-
-bool ts_told_load_is_idle(const ts_told_load_t *load)
-{
-    return load->told_us != 0 && load->running < load->slots && load->waiting == 0;
-}
