--- a/include/tealspar/contact.h
+++ b/include/tealspar/contact.h
@@ -1,9 +1,9 @@
 /**
- * Whether a node is in contact with most of the fleet just now. A view loses nodes that were cut
- * off one after the other, over 5 to 8 s (probes and suspicions); this tells within two seconds,
- * from the zones of which anything was heard, and says whom to call where nothing was. It answers
- * for whole zones, as cuts run along links between them; a node that hears nobody is the same case.
- * Pure: no clock, no sockets.
+ * Detects whether this node currently reaches a majority of the fleet. Membership takes 5 to 8 s
+ * (probes and suspicion) to remove nodes that are cut off one after the other; this detects a
+ * partition within two seconds from the zones that have acknowledged a frame, and names nodes to
+ * probe in zones that are silent. It works on whole zones because partitions separate zones at the
+ * links between them; an isolated node is a special case of this. Uses neither clock nor sockets.
  */
 #ifndef TEALSPAR_CONTACT_H
 #define TEALSPAR_CONTACT_H
@@ -13,18 +13,18 @@
 
 typedef struct ts_contact ts_contact_t;
 
-/** `node`: hash of this node's name; spreads the calls of nodes over those of another zone. */
+/** `node`: hash of this node's name; spreads probes from different nodes over a zone's members. */
 ts_contact_t *ts_contact_create(uint64_t node);
 void ts_contact_free(ts_contact_t *contact);
-/** The members as of now; what was heard of their zones stays. */
+/** Replaces the members; times of the last acknowledgement from each zone are kept. */
 void ts_contact_set_view(ts_contact_t *contact, const ts_view_t *view);
-/** The node at an address was heard, and said that it hears this one. */
+/** Records that the node at `address` has acknowledged a frame of this node. */
 void ts_contact_note(ts_contact_t *contact, const char *address, ts_time_us_t now_us);
-/** Whether zones that were heard lately hold more than half of the members, this node included. */
+/** Whether this node and the zones heard recently hold more than half of the members. */
 bool ts_contact_has_majority(const ts_contact_t *contact, ts_time_us_t now_us);
 /**
- * A node to call, one of each zone that was not heard for a while; NULL when there is none (left).
- * Call it until it returns NULL.
+ * Returns the address of the next node to probe, at most one in each silent zone, or NULL when no
+ * zone is due for a probe. Call it repeatedly until it returns NULL.
  */
 const char *ts_contact_next_call(ts_contact_t *contact, ts_time_us_t now_us);
 
--- a/include/tealspar/peers.h
+++ b/include/tealspar/peers.h
@@ -1,7 +1,8 @@
 /**
- * The other gateways: who they are, and what is passed between them. One node of each zone, the
- * zone's watcher, follows the configuration service; the others are told by it and ask the service
- * themselves only when they hear nothing. Suspicions of back ends are shared within the zone.
+ * Communication with the other gateways: membership and the messages exchanged between nodes. In
+ * each zone one node, the watcher, follows the configuration service and distributes its changes;
+ * the other nodes query the service themselves only when they receive no updates. Suspicions of
+ * backends are shared within the region.
  */
 #ifndef TEALSPAR_PEERS_H
 #define TEALSPAR_PEERS_H
@@ -9,48 +10,53 @@
 #include "tealspar/gateway.h"
 #include "tealspar/store_mirror.h"
 
-/** Listens for peers; NULL when that fails. Not to be called without a peers' address. */
+/** Listens for peers; returns NULL on failure. The settings must contain a peer address. */
 ts_peers_t *ts_peers_open(ts_gateway_t *gateway, ts_store_mirror_t *mirror);
-/** Whether this node is to follow the configuration service itself, at this moment. */
+/** Whether this node should follow the configuration service itself now. */
 bool ts_peers_should_watch(const ts_peers_t *peers, ts_time_us_t now_us);
-/** Whether another node of the zone may follow the service for this one. */
+/** Whether another node of the zone is the watcher. */
 bool ts_peers_may_be_told(const ts_peers_t *peers);
-/** Whether others of the zone rely on this node to follow the service. */
+/** Whether this node is the watcher and its zone has other nodes. */
 bool ts_peers_is_relied_on(const ts_peers_t *peers);
-/** Something new was read from the service: the zone is told at once. */
+/** Announces a change read from the configuration service to the zone immediately. */
 void ts_peers_announce(ts_peers_t *peers);
-/** The service does not answer: somebody else is asked for what is known. */
+/** Pulls configuration changes from a random peer, as the service does not respond. */
 void ts_peers_ask_around(ts_peers_t *peers);
-/** Tells nodes of the region what was seen of a back end. */
+/** Sends a health observation of an instance to nodes of the region. */
 void ts_peers_tell(ts_peers_t *peers, ts_life_t life, ts_sighting_t sighting);
 /**
- * This node's place in the order of the nodes that keep connections to an instance: nodes of its
- * region come first, then the others, each by rendezvous weight.
+ * This node's rank among the nodes that keep connections to an instance: nodes of the instance's
+ * region first, then the others, each group by rendezvous weight.
  */
 unsigned ts_peers_place(const ts_peers_t *peers, const ts_instance_t *instance);
-/** Grows whenever the fleet or its places may have changed. */
+/** Increases whenever the members or their locations may have changed. */
 uint64_t ts_peers_changes(const ts_peers_t *peers);
-/** Asks others for extra sends to a service, as this node has none left. */
+/** Requests extra sends to a service from other nodes when the local retry budget is exhausted. */
 void ts_peers_ask_loan(ts_peers_t *peers, ts_service_t *service, ts_time_us_t now_us);
 /**
- * Which node deals an account out: the live one of the highest rendezvous weight. None while less
- * than half of the fleet is in view, or this node is too young to tell; see ts_rate_limiter_ops_t.
+ * The home of a rate account, which deals out its tokens: the live node with the highest rendezvous
+ * weight. TS_RATE_DEALER_NONE while less than half of the fleet is visible, or while this node has
+ * just started and cannot tell; see ts_rate_limiter_ops_t.
  */
 ts_rate_dealer_t ts_peers_rate_home(const ts_peers_t *peers, const char *account,
                                     const char **address);
-/** Which node of this zone deals it out here: the home if it stands here, else likewise. */
+/**
+ * The deputy of an account in this zone: the home if it is in this zone, otherwise the zone's live
+ * node with the highest rendezvous weight.
+ */
 ts_rate_dealer_t ts_peers_rate_deputy(const ts_peers_t *peers, const char *account,
                                       const char **address);
-/** Asks the node at the address for tokens; answers one that has asked. */
+/** Requests tokens from the node at `address`. */
 void ts_peers_ask_rate(ts_peers_t *peers, const char *address, const ts_rate_row_t *row);
+/** Replies to a token request from the node at `address`. */
 void ts_peers_answer_rate(ts_peers_t *peers, const char *address, const ts_rate_row_t *row);
-/** Nodes believed live, this one included. */
+/** Number of nodes in the view that are not dead, including this one. */
 unsigned ts_peers_count(const ts_peers_t *peers);
-/** For tests: sends nothing more, as a process that stands still would. */
+/** For tests: suppresses all sending, as in a process that is suspended. */
 void ts_peers_set_mute(ts_peers_t *peers, bool is_mute);
-/** This node leaves. */
+/** Announces that this node is leaving. */
 void ts_peers_leave(ts_peers_t *peers);
-/** Closes what is idle. */
+/** Closes idle connections. */
 void ts_peers_sweep(ts_peers_t *peers, ts_time_us_t now_us);
 
 #endif
--- a/src/peers/contact.c
+++ b/src/peers/contact.c
@@ -1,27 +1,27 @@
-/** Whether a node is in contact with most of the fleet. */
+/** Detection of contact with a majority of the fleet, from acknowledgements by zone. */
 #include "tealspar/contact.h"
 
 #include <glib.h>
 #include <string.h>
 
-/* A zone counts as heard for so long: two calls that are lost in a row don't end that. */
-#define HEARD_US (2 * TS_US_PER_S)
-/* A zone that was not heard for so long is called, and again after that while it is silent. */
-#define CALL_AFTER_US (700 * TS_US_PER_MS)
-#define CALL_AGAIN_US (400 * TS_US_PER_MS)
+/* A zone counts as heard for this long, enough to tolerate two lost probes in a row. */
+#define HEARD_TIMEOUT_US (2 * TS_US_PER_S)
+/* Silence after which a zone is probed, and the interval of probes while it stays silent. */
+#define PROBE_AFTER_US (700 * TS_US_PER_MS)
+#define PROBE_INTERVAL_US (400 * TS_US_PER_MS)
 
 typedef struct zone {
     char *name;
-    GPtrArray *addresses; /* of its members, this node left out; owned texts */
+    GPtrArray *addresses; /* of its members except this node; owned strings */
     ts_time_us_t heard_us;
-    ts_time_us_t called_us;
-    guint next; /* whom to call; goes on when a call was not answered */
+    ts_time_us_t probed_us;
+    guint next; /* index of the member to probe; advances after an unanswered probe */
 } zone_t;
 
 struct ts_contact {
-    guint first; /* spreads the calls of different nodes */
+    guint probe_offset; /* initial `next` of a zone; differs between nodes to spread their probes */
     GPtrArray *zones;
-    GHashTable *zone_of; /* address -> zone_t */
+    GHashTable *zone_by_address; /* address -> zone_t */
     size_t members;
 };
 
@@ -36,21 +36,21 @@
 ts_contact_t *ts_contact_create(uint64_t node)
 {
     ts_contact_t *contact = g_new0(ts_contact_t, 1);
-    contact->first = (guint)node;
+    contact->probe_offset = (guint)node;
     contact->zones = g_ptr_array_new_with_free_func(free_zone);
-    contact->zone_of = g_hash_table_new(g_str_hash, g_str_equal);
+    contact->zone_by_address = g_hash_table_new(g_str_hash, g_str_equal);
     contact->members = 1;
     return contact;
 }
 
 void ts_contact_free(ts_contact_t *contact)
 {
-    g_hash_table_unref(contact->zone_of);
+    g_hash_table_unref(contact->zone_by_address);
     g_ptr_array_unref(contact->zones);
     g_free(contact);
 }
 
-static zone_t *find_zone(ts_contact_t *contact, const char *name)
+static zone_t *find_or_add_zone(ts_contact_t *contact, const char *name)
 {
     for (guint i = 0; i < contact->zones->len; i++) {
         zone_t *zone = g_ptr_array_index(contact->zones, i);
@@ -60,14 +60,14 @@
     zone_t *zone = g_new0(zone_t, 1);
     zone->name = g_strdup(name);
     zone->addresses = g_ptr_array_new_with_free_func(g_free);
-    zone->next = contact->first;
+    zone->next = contact->probe_offset;
     g_ptr_array_add(contact->zones, zone);
     return zone;
 }
 
 void ts_contact_set_view(ts_contact_t *contact, const ts_view_t *view)
 {
-    g_hash_table_remove_all(contact->zone_of);
+    g_hash_table_remove_all(contact->zone_by_address);
     for (guint i = 0; i < contact->zones->len; i++)
         g_ptr_array_set_size(((zone_t *)g_ptr_array_index(contact->zones, i))->addresses, 0);
     contact->members = view->count;
@@ -75,16 +75,16 @@
         const ts_view_member_t *member = &view->members[i];
         if (member->is_self)
             continue;
-        zone_t *zone = find_zone(contact, member->zone);
+        zone_t *zone = find_or_add_zone(contact, member->zone);
         char *address = g_strdup(member->address);
         g_ptr_array_add(zone->addresses, address);
-        g_hash_table_insert(contact->zone_of, address, zone);
+        g_hash_table_insert(contact->zone_by_address, address, zone);
     }
 }
 
 void ts_contact_note(ts_contact_t *contact, const char *address, ts_time_us_t now_us)
 {
-    zone_t *zone = g_hash_table_lookup(contact->zone_of, address);
+    zone_t *zone = g_hash_table_lookup(contact->zone_by_address, address);
     if (zone != NULL)
         zone->heard_us = now_us;
 }
@@ -94,7 +94,7 @@
     size_t heard = 1; // this node
     for (guint i = 0; i < contact->zones->len; i++) {
         const zone_t *zone = g_ptr_array_index(contact->zones, i);
-        if (zone->heard_us != 0 && now_us - zone->heard_us < HEARD_US)
+        if (zone->heard_us != 0 && now_us - zone->heard_us < HEARD_TIMEOUT_US)
             heard += zone->addresses->len;
     }
     return 2 * heard > contact->members;
@@ -104,13 +104,13 @@
 {
     for (guint i = 0; i < contact->zones->len; i++) {
         zone_t *zone = g_ptr_array_index(contact->zones, i);
-        bool is_silent = now_us - zone->heard_us > CALL_AFTER_US;
-        bool is_called = zone->called_us != 0 && now_us - zone->called_us < CALL_AGAIN_US;
-        if (zone->addresses->len == 0 || !is_silent || is_called)
+        bool is_silent = now_us - zone->heard_us > PROBE_AFTER_US;
+        bool is_probed = zone->probed_us != 0 && now_us - zone->probed_us < PROBE_INTERVAL_US;
+        if (zone->addresses->len == 0 || !is_silent || is_probed)
             continue;
-        if (zone->called_us > zone->heard_us)
+        if (zone->probed_us > zone->heard_us)
             zone->next++;
-        zone->called_us = now_us;
+        zone->probed_us = now_us;
         return g_ptr_array_index(zone->addresses, zone->next % zone->addresses->len);
     }
     return NULL;
--- a/src/peers/peer_link.c
+++ b/src/peers/peer_link.c
@@ -1,12 +1,12 @@
 /**
- * Bytes between nodes over nng.
+ * Message transport between nodes over nng.
  *
- * The sockets are raw request and reply sockets, used in one direction: one reply socket listens
- * and receives, and one request socket for each peer dials it and only sends. Raw sockets match no
- * replies and send nothing again. A request socket hands a message to its connection when that has
- * written the one before, and refuses further ones when its buffer is full. Others of libnng 1.5.2
- * that would fit don't: a bus socket drops messages without a word once 16 wait for a connection,
- * and a push socket may be offered a connection that has ended (docs/FAILURES.md).
+ * Uses raw request and reply sockets in one direction only: a reply socket listens and receives,
+ * and one request socket per peer dials and sends. Raw sockets neither match replies nor
+ * retransmit. A request socket passes a message to its connection once the previous one is written,
+ * and returns an error when its buffer is full. Other socket types of libnng 1.5.2 are unsuitable:
+ * a bus socket silently drops messages once 16 are queued for a connection, and a push socket may
+ * be offered a connection that has already ended (docs/FAILURES.md).
  */
 #include "tealspar/peer_link.h"
 
@@ -19,56 +19,55 @@
 #include "tealspar/counters.h"
 #include "tealspar/log.h"
 
-/* What waits for a peer at most: in its socket, and before that for its connection, where the
- * oldest is dropped first. */
+/* Default size of each queue of a peer: the send buffer of its socket, and the queue of messages
+ * that wait for its connection, which drops the oldest first. */
 #define BUFFER_MESSAGES 64U
 #define RECEIVE_BUFFER_MESSAGES 256
 #define MESSAGE_BYTES_MAX (16UL * 1024UL * 1024UL)
-#define RECONNECT_LEAST_MS 100
-#define RECONNECT_MOST_MS 1000
+#define RECONNECT_MIN_MS 100
+#define RECONNECT_MAX_MS 1000
 /*
- * A dial that has no connection after this is given up for a new one: the opening packet was lost,
- * in a cut or at a full queue, and the kernel repeats it at gaps that double, so that a node which
- * is reachable again would not be reached for as long as it was cut off.
+ * A dial without a connection after this time is replaced by a new one. Its SYN was lost in a
+ * network partition or at a full accept queue, and the kernel retransmits it at intervals that
+ * double, so that reaching the peer after the partition could take as long as the partition lasted.
  */
-#define DIAL_MOST_US (1ULL * TS_US_PER_S)
-/* Longer than a round of the messages that go on between two nodes; a seed would keep a connection
- * to each node that has ever asked it. */
-#define IDLE_CLOSE_US (8ULL * TS_US_PER_S)
-/* The id that a request carries in its header: the highest bit marks the end of the header. */
+#define DIAL_TIMEOUT_US (1ULL * TS_US_PER_S)
+/* Longer than the interval between regular messages to the same peer. Without a limit, a seed node
+ * would keep a connection to every node that has ever joined through it. */
+#define IDLE_TIMEOUT_US (8ULL * TS_US_PER_S)
+/* Request id in the message header; the highest bit marks the end of the header. */
 #define REQUEST_ID 0x80000000U
 
 typedef struct peer {
     char *address;
     nng_socket socket;
-    uint32_t dial; /* which opening of a socket this is; names it on nng's threads */
+    uint32_t dial; /* number of the current dial; identifies it on nng's threads */
     bool is_open;
-    ts_time_us_t dialled_us;   /* when its socket was opened, or lost its connection */
-    ts_time_us_t connected_us; /* when its connection came up */
-    int pipe;                  /* nng's number of its connection; 0: it has none */
-    GQueue waiting;            /* of nng_msg, until it is connected */
-    bool is_dropping;          /* the last message found no room */
+    ts_time_us_t dialed_us;    /* when its socket was opened or lost its connection */
+    ts_time_us_t connected_us; /* when its connection was established */
+    int pipe;                  /* nng's id of its connection; 0: not connected */
+    GQueue waiting;            /* of nng_msg, sent once connected */
+    bool is_dropping; /* the last message was dropped; limits logging to the first of a series */
     ts_time_us_t used_us;
 } peer_t;
 
-/* What nng's threads tell the loop. */
-typedef enum arrival_kind {
-    ARRIVAL_MESSAGE,      /* a message from a peer */
-    ARRIVAL_CONNECTED,    /* a dial has a connection */
-    ARRIVAL_DISCONNECTED, /* it has none any more */
-    ARRIVAL_FAILED        /* a message could not be received */
-} arrival_kind_t;
-
-typedef struct arrival {
-    arrival_kind_t kind;
-    nng_msg *message; /* owned; only with ARRIVAL_MESSAGE */
-    uint32_t dial;    /* with the others */
-    int pipe;         /* which connection; the end of an old one may be told after a new one */
-    int status;       /* nng's error, with ARRIVAL_FAILED */
-} arrival_t;
-
-/* Context of a dial on nng's threads; lives as long as the link, which is as long as the process.
- */
+/* Events passed from nng's threads to the loop. */
+typedef enum event_type {
+    EVENT_MESSAGE,       /* a message was received */
+    EVENT_CONNECTED,     /* a dial has established a connection */
+    EVENT_DISCONNECTED,  /* the connection of a dial has ended */
+    EVENT_RECEIVE_FAILED /* receiving a message failed */
+} event_type_t;
+
+typedef struct event {
+    event_type_t type;
+    nng_msg *message; /* owned; only with EVENT_MESSAGE */
+    uint32_t dial;    /* only with EVENT_CONNECTED and EVENT_DISCONNECTED */
+    int pipe;   /* nng's id of the connection; an old one's end may be reported after a new one */
+    int status; /* nng's error; only with EVENT_RECEIVE_FAILED */
+} event_t;
+
+/* Callback context of a dial on nng's threads; never freed, like the link itself. */
 typedef struct dial {
     ts_peer_link_t *link;
     uint32_t id;
@@ -78,22 +77,22 @@
     char *local_ip;
     nng_socket receiver;
     nng_aio *receive;
-    GAsyncQueue *arrived; /* of arrival_t; filled by nng's threads */
+    GAsyncQueue *events; /* of event_t; pushed by nng's threads */
     uv_async_t wake;
     GHashTable *peers; /* address -> peer_t, owned */
-    GHashTable *dials; /* number of the dial -> peer_t that it is for, while it is open */
-    uint32_t dials_made;
+    GHashTable *dials; /* number of an open dial -> its peer_t */
+    uint32_t last_dial;
     unsigned buffer; /* see BUFFER_MESSAGES */
     ts_peer_received_t received;
-    ts_peer_lost_t lost; /* NULL: nobody wants to know */
+    ts_peer_lost_t lost; /* may be NULL */
     void *context;
 };
 
 /* -- On nng's threads -------------------------------------------------------------------------- */
 
-static void tell_loop(ts_peer_link_t *link, arrival_t arrival)
+static void post_event(ts_peer_link_t *link, event_t event)
 {
-    g_async_queue_push(link->arrived, g_memdup2(&arrival, sizeof(arrival)));
+    g_async_queue_push(link->events, g_memdup2(&event, sizeof(event)));
     uv_async_send(&link->wake);
 }
 
@@ -103,21 +102,21 @@
     int status = nng_aio_result(link->receive);
     if (status == NNG_ECLOSED)
         return;
-    if (status != 0) { // the loop receives on
-        tell_loop(link, (arrival_t){.kind = ARRIVAL_FAILED, .status = status});
+    if (status != 0) { // the loop starts the next receive
+        post_event(link, (event_t){.type = EVENT_RECEIVE_FAILED, .status = status});
         return;
     }
     nng_msg *message = nng_aio_get_msg(link->receive);
-    tell_loop(link, (arrival_t){.kind = ARRIVAL_MESSAGE, .message = message});
+    post_event(link, (event_t){.type = EVENT_MESSAGE, .message = message});
     nng_recv_aio(link->receiver, link->receive);
 }
 
-static void on_pipe(nng_pipe pipe, nng_pipe_ev event, void *data)
+static void on_connection_event(nng_pipe pipe, nng_pipe_ev event, void *data)
 {
     dial_t *dial = data;
     bool is_up = event == NNG_PIPE_EV_ADD_POST;
-    arrival_kind_t kind = is_up ? ARRIVAL_CONNECTED : ARRIVAL_DISCONNECTED;
-    tell_loop(dial->link, (arrival_t){.kind = kind, .dial = dial->id, .pipe = nng_pipe_id(pipe)});
+    event_type_t type = is_up ? EVENT_CONNECTED : EVENT_DISCONNECTED;
+    post_event(dial->link, (event_t){.type = type, .dial = dial->id, .pipe = nng_pipe_id(pipe)});
 }
 
 /* -- Peers ------------------------------------------------------------------------------------- */
@@ -146,14 +145,14 @@
     g_free(peer);
 }
 
-static void watch_pipes(ts_peer_link_t *link, peer_t *peer)
+static void watch_connections(ts_peer_link_t *link, peer_t *peer)
 {
     dial_t *dial = g_new0(dial_t, 1);
     dial->link = link;
-    dial->id = peer->dial = ++link->dials_made;
+    dial->id = peer->dial = ++link->last_dial;
     g_hash_table_insert(link->dials, GUINT_TO_POINTER(peer->dial), peer);
-    nng_pipe_notify(peer->socket, NNG_PIPE_EV_ADD_POST, on_pipe, dial);
-    nng_pipe_notify(peer->socket, NNG_PIPE_EV_REM_POST, on_pipe, dial);
+    nng_pipe_notify(peer->socket, NNG_PIPE_EV_ADD_POST, on_connection_event, dial);
+    nng_pipe_notify(peer->socket, NNG_PIPE_EV_REM_POST, on_connection_event, dial);
 }
 
 static bool open_peer(ts_peer_link_t *link, peer_t *peer)
@@ -165,12 +164,12 @@
         return false;
     }
     nng_socket_set_int(peer->socket, NNG_OPT_SENDBUF, (int)link->buffer);
-    nng_socket_set_ms(peer->socket, NNG_OPT_RECONNMINT, RECONNECT_LEAST_MS);
-    nng_socket_set_ms(peer->socket, NNG_OPT_RECONNMAXT, RECONNECT_MOST_MS);
+    nng_socket_set_ms(peer->socket, NNG_OPT_RECONNMINT, RECONNECT_MIN_MS);
+    nng_socket_set_ms(peer->socket, NNG_OPT_RECONNMAXT, RECONNECT_MAX_MS);
     peer->is_open = true;
-    peer->dialled_us = ts_clock_now_us();
+    peer->dialed_us = ts_clock_now_us();
     ts_count(TS_COUNTER_MESH_PEERS, 1);
-    watch_pipes(link, peer);
+    watch_connections(link, peer);
     char *url = g_strdup_printf("tcp://%s;%s", link->local_ip, peer->address);
     int status = nng_dial(peer->socket, url, NULL, NNG_FLAG_NONBLOCK);
     g_free(url);
@@ -192,7 +191,7 @@
 
 /* -- Sending ----------------------------------------------------------------------------------- */
 
-/* A line for the first message of a series that found no room. */
+/* Counts a dropped message, and logs the first of a series. */
 static void note_dropped(peer_t *peer, const char *reason)
 {
     ts_count(TS_COUNTER_MESH_MESSAGES_DROPPED, 1);
@@ -203,7 +202,7 @@
     peer->is_dropping = true;
 }
 
-/* Takes the message. */
+/* Takes ownership of the message. */
 static void send_now(peer_t *peer, nng_msg *message)
 {
     size_t length = nng_msg_len(message);
@@ -217,8 +216,8 @@
     ts_count(TS_COUNTER_MESH_BYTES_SENT, (int64_t)length);
 }
 
-/* Takes the message. */
-static void let_wait(const ts_peer_link_t *link, peer_t *peer, nng_msg *message)
+/* Takes ownership of the message. */
+static void enqueue(const ts_peer_link_t *link, peer_t *peer, nng_msg *message)
 {
     g_queue_push_tail(&peer->waiting, message);
     if (peer->waiting.length > link->buffer) {
@@ -227,9 +226,9 @@
     }
 }
 
-static bool is_dial_stuck(const peer_t *peer, ts_time_us_t now_us)
+static bool has_dial_timed_out(const peer_t *peer, ts_time_us_t now_us)
 {
-    return peer->is_open && peer->pipe == 0 && now_us - peer->dialled_us > DIAL_MOST_US;
+    return peer->is_open && peer->pipe == 0 && now_us - peer->dialed_us > DIAL_TIMEOUT_US;
 }
 
 void ts_peer_link_send(ts_peer_link_t *link, const char *address, const uint8_t *bytes,
@@ -238,7 +237,7 @@
     peer_t *peer = find_peer(link, address);
     nng_msg *message = NULL;
     peer->used_us = ts_clock_now_us();
-    if (is_dial_stuck(peer, peer->used_us))
+    if (has_dial_timed_out(peer, peer->used_us))
         close_peer(link, peer);
     if (!open_peer(link, peer) || nng_msg_alloc(&message, length) != 0) {
         note_dropped(peer, "not_opened");
@@ -253,13 +252,13 @@
     if (peer->pipe != 0)
         send_now(peer, message);
     else
-        let_wait(link, peer, message);
+        enqueue(link, peer, message);
 }
 
-static void lose_connection(const ts_peer_link_t *link, peer_t *peer)
+static void handle_disconnect(const ts_peer_link_t *link, peer_t *peer)
 {
     peer->pipe = 0;
-    peer->dialled_us = ts_clock_now_us(); /* nng dials again by itself */
+    peer->dialed_us = ts_clock_now_us(); /* nng redials automatically */
     if (link->lost != NULL)
         link->lost(link->context, peer->address);
 }
@@ -270,21 +269,21 @@
     peer->connected_us = ts_clock_now_us();
 }
 
-static void take_connection(ts_peer_link_t *link, const arrival_t *arrival)
+static void handle_connection_event(ts_peer_link_t *link, const event_t *event)
 {
-    peer_t *peer = g_hash_table_lookup(link->dials, GUINT_TO_POINTER(arrival->dial));
+    peer_t *peer = g_hash_table_lookup(link->dials, GUINT_TO_POINTER(event->dial));
     if (peer == NULL)
-        return; /* closed meanwhile */
-    bool is_up = arrival->kind == ARRIVAL_CONNECTED;
-    if (is_up ? peer->pipe != 0 : peer->pipe == arrival->pipe)
-        lose_connection(link, peer); // its end is told now, or has not been told yet
+        return; /* this dial was closed in the meantime */
+    bool is_up = event->type == EVENT_CONNECTED;
+    if (is_up ? peer->pipe != 0 : peer->pipe == event->pipe)
+        handle_disconnect(link, peer); // its end is reported now, or was not reported yet
     if (is_up)
-        set_connected(peer, arrival->pipe);
+        set_connected(peer, event->pipe);
     while (peer->pipe != 0 && peer->waiting.length > 0)
         send_now(peer, g_queue_pop_head(&peer->waiting));
 }
 
-static void take_message(const ts_peer_link_t *link, nng_msg *message)
+static void deliver_message(const ts_peer_link_t *link, nng_msg *message)
 {
     ts_count(TS_COUNTER_MESH_MESSAGES_RECEIVED, 1);
     ts_count(TS_COUNTER_MESH_BYTES_RECEIVED, (int64_t)nng_msg_len(message));
@@ -292,29 +291,29 @@
     nng_msg_free(message);
 }
 
-static void receive_on(ts_peer_link_t *link, int status)
+static void handle_receive_error(ts_peer_link_t *link, int status)
 {
     ts_count_error(TS_E_PROTOCOL);
     ts_log(TS_EVENT_FRAME_REFUSED, "error=receive reason=%s", nng_strerror(status));
     nng_recv_aio(link->receiver, link->receive);
 }
 
-static void take_arrived(uv_async_t *wake)
+static void process_events(uv_async_t *wake)
 {
     ts_peer_link_t *link = wake->data;
-    arrival_t *arrival = NULL;
-    while ((arrival = g_async_queue_try_pop(link->arrived)) != NULL) {
-        if (arrival->kind == ARRIVAL_MESSAGE)
-            take_message(link, arrival->message);
-        else if (arrival->kind == ARRIVAL_FAILED)
-            receive_on(link, arrival->status);
+    event_t *event = NULL;
+    while ((event = g_async_queue_try_pop(link->events)) != NULL) {
+        if (event->type == EVENT_MESSAGE)
+            deliver_message(link, event->message);
+        else if (event->type == EVENT_RECEIVE_FAILED)
+            handle_receive_error(link, event->status);
         else
-            take_connection(link, arrival);
-        g_free(arrival);
+            handle_connection_event(link, event);
+        g_free(event);
     }
 }
 
-/* -- Life -------------------------------------------------------------------------------------- */
+/* -- Public interface -------------------------------------------------------------------------- */
 
 void ts_peer_link_on_lost(ts_peer_link_t *link, ts_peer_lost_t lost)
 {
@@ -353,7 +352,7 @@
     g_hash_table_iter_init(&iterator, link->peers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         peer_t *peer = value;
-        if (now_us - peer->used_us <= IDLE_CLOSE_US)
+        if (now_us - peer->used_us <= IDLE_TIMEOUT_US)
             continue;
         g_hash_table_iter_steal(&iterator);
         free_peer(link, peer);
@@ -367,14 +366,14 @@
     link->local_ip = g_strndup(address, (gsize)(strrchr(address, ':') - address));
     link->peers = g_hash_table_new(g_str_hash, g_str_equal);
     link->dials = g_hash_table_new(NULL, NULL);
-    link->arrived = g_async_queue_new();
+    link->events = g_async_queue_new();
     link->received = received;
     link->context = context;
     link->buffer = BUFFER_MESSAGES;
-    uv_async_init(loop, &link->wake, take_arrived);
+    uv_async_init(loop, &link->wake, process_events);
     link->wake.data = link;
     if (nng_rep0_open_raw(&link->receiver) != 0) {
-        return NULL; /* the process ends */
+        return NULL; /* nothing is freed: the process exits */
     }
     nng_socket_set_int(link->receiver, NNG_OPT_RECVBUF, RECEIVE_BUFFER_MESSAGES);
     nng_socket_set_size(link->receiver, NNG_OPT_RECVMAXSZ, MESSAGE_BYTES_MAX);
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -1,4 +1,4 @@
-/** The other gateways: membership, the zone's watcher, and what is passed between them. */
+/** Communication with the other gateways: frames, membership, and the tree of the zone. */
 #include "peers_internal.h"
 
 #include <string.h>
@@ -9,10 +9,10 @@
 #include "tealspar/log.h"
 
 #define PROTOCOL 1
-/* The time between two beacons of a watcher, and the tick of membership. */
+/* Tick of membership, and the number of ticks between beacons of the watcher. */
 #define TICK_MS 250
 #define BEACON_TICKS 2
-/* What goes round a zone goes along a tree, so that no node sends to more than this many. */
+/* Fan-out of the tree along which frames are distributed within a zone. */
 #define TREE_CHILDREN 16U
 
 bool ts_peers_is_watcher(const ts_peers_t *peers)
@@ -22,7 +22,7 @@
 
 /* -- Sending ----------------------------------------------------------------------------------- */
 
-static ts_byte_cause_t cause_of(const TsPeer__Frame *frame)
+static ts_byte_cause_t byte_cause(const TsPeer__Frame *frame)
 {
     if (frame->sighting != NULL)
         return TS_BYTES_SIGHTING;
@@ -51,11 +51,11 @@
     uint8_t *bytes = g_malloc(length);
     ts_peer__frame__pack(frame, bytes);
     ts_peer_link_send(peers->link, address, bytes, length);
-    ts_account_bytes(cause_of(frame), ts_peers_distance(peers, address), length);
+    ts_account_bytes(byte_cause(frame), ts_peers_distance(peers, address), length);
     g_free(bytes);
 }
 
-static void take_contents(ts_peers_t *peers, TsPeer__Frame *frame)
+static void dispatch_frame(ts_peers_t *peers, TsPeer__Frame *frame)
 {
     if (frame->gossip.len > 0 &&
         !ts_membership_receive(peers->membership, frame->name, frame->address, frame->gossip.data,
@@ -85,7 +85,7 @@
         ts_peers_take_quarantine(peers, frame);
 }
 
-static void take_frame(void *context, const uint8_t *bytes, size_t length)
+static void handle_frame(void *context, const uint8_t *bytes, size_t length)
 {
     ts_peers_t *peers = context;
     TsPeer__Frame *frame = ts_peer__frame__unpack(NULL, length, bytes);
@@ -98,9 +98,9 @@
     }
     bool wants_echo = ts_peers_note_frame(peers, frame);
     uint32_t sent = ts_peers_frames_sent(peers, frame->address);
-    take_contents(peers, frame);
+    dispatch_frame(peers, frame);
     if (wants_echo && ts_peers_frames_sent(peers, frame->address) == sent)
-        ts_peers_send_echo(peers, frame->address); // nothing else went back
+        ts_peers_send_echo(peers, frame->address); // no other frame has carried the ack
     ts_peer__frame__free_unpacked(frame, NULL);
 }
 
@@ -116,7 +116,7 @@
     ts_peers_send(context, address, &frame);
 }
 
-/* Live ones first, then by rendezvous weight; the same view gives the same order everywhere. */
+/* Depends on the view only, so that all nodes with the same view agree on the order. */
 gint ts_peers_compare_members(gconstpointer left, gconstpointer right)
 {
     const ts_view_member_t *a = *(ts_view_member_t *const *)left;
@@ -131,7 +131,7 @@
     return (a_weight < b_weight) - (a_weight > b_weight);
 }
 
-static void order_zone(ts_peers_t *peers)
+static void sort_zone(ts_peers_t *peers)
 {
     const char *zone = peers->gateway->settings->zone;
     g_ptr_array_set_size(peers->zone_order, 0);
@@ -167,12 +167,12 @@
     return parent->address;
 }
 
-static void change_view(void *context)
+static void update_view(void *context)
 {
     ts_peers_t *peers = context;
     ts_view_unref(peers->view);
     peers->view = ts_membership_view(peers->membership);
-    order_zone(peers);
+    sort_zone(peers);
     ts_peers_locate_members(peers);
     ts_peers_find_collector(peers);
     ts_peers_change_homes(peers);
@@ -224,7 +224,7 @@
     ts_peer_link_sweep(peers->link, now_us);
 }
 
-/* Seeds are asked by address alone; their names come with their answers. */
+/* Seeds are known by address only; their names are learned from their replies. */
 static void add_seeds(ts_peers_t *peers)
 {
     const ts_gateway_settings_t *settings = peers->gateway->settings;
@@ -240,7 +240,7 @@
 
 ts_peers_t *ts_peers_open(ts_gateway_t *gateway, ts_store_mirror_t *mirror)
 {
-    static const ts_membership_ops_t ops = {send_gossip, ts_peers_hear_config, change_view,
+    static const ts_membership_ops_t ops = {send_gossip, ts_peers_hear_config, update_view,
                                             log_member};
     const ts_gateway_settings_t *settings = gateway->settings;
     ts_peers_t *peers = g_new0(ts_peers_t, 1);
@@ -255,7 +255,7 @@
     };
     peers->gateway = gateway;
     peers->mirror = mirror;
-    peers->link = ts_peer_link_open(gateway->loop, settings->peers, take_frame, peers);
+    peers->link = ts_peer_link_open(gateway->loop, settings->peers, handle_frame, peers);
     if (peers->link == NULL) {
         return NULL;
     }
@@ -266,7 +266,7 @@
     peers->regions = g_ptr_array_new();
     peers->distances = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     peers->view = ts_membership_view(peers->membership);
-    order_zone(peers);
+    sort_zone(peers);
     ts_peers_locate_members(peers);
     ts_peers_change_homes(peers);
     ts_peers_open_evidence(peers);
--- a/src/peers/peers_echo.c
+++ b/src/peers/peers_echo.c
@@ -1,51 +1,52 @@
 /**
- * Whether peers hear this node: a connection may go silent without a reset. Frames to a peer are
- * numbered; each frame back tells the last number heard. When that doesn't come although it is due,
- * the connection is given up, and the next frame goes over a new one.
+ * Acknowledgement of frames between peers, to detect connections that lose data without being
+ * reset. Frames to a peer are numbered, and each frame in the other direction carries the last
+ * number received. If an acknowledgement is overdue, the connection is reset, and the next frame
+ * uses a new one.
  */
 #include "peers_internal.h"
 #include "tealspar/counters.h"
 #include "tealspar/log.h"
 
-/* An echo is asked for when something unheard is older than this. */
-#define UNHEARD_US (500 * TS_US_PER_MS)
-/* An echo that is due for so long does not come: several round trips between regions. */
-#define SILENT_US (350 * TS_US_PER_MS)
+/* Time without full acknowledgement after which a frame requests one. */
+#define REQUEST_AFTER_US (500 * TS_US_PER_MS)
+/* Time to wait for a requested acknowledgement: several round trips between regions. */
+#define ACK_TIMEOUT_US (350 * TS_US_PER_MS)
 
-typedef struct echo {
-    uint32_t sent;           /* number of the last frame to it */
-    uint32_t acknowledged;   /* the last of them that it said it heard */
-    uint32_t heard;          /* number of the last frame from it */
-    ts_time_us_t unheard_us; /* since when some frame is not acknowledged; 0: all are */
-    ts_time_us_t asked_us;   /* since when an echo is due; 0: none is */
-} echo_t;
+typedef struct ack {
+    uint32_t sent;                  /* number of the last frame to the peer */
+    uint32_t acknowledged;          /* last of these that the peer has acknowledged */
+    uint32_t heard;                 /* number of the last frame from the peer */
+    ts_time_us_t unacknowledged_us; /* since when frames are unacknowledged; 0: none are */
+    ts_time_us_t requested_us;      /* when an ack was requested; 0: no request is outstanding */
+} ack_state_t;
 
 void ts_peers_open_echoes(ts_peers_t *peers)
 {
     peers->echoes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-static echo_t *find_echo(ts_peers_t *peers, const char *address)
+static ack_state_t *find_or_add_ack_state(ts_peers_t *peers, const char *address)
 {
-    echo_t *echo = g_hash_table_lookup(peers->echoes, address);
-    if (echo != NULL)
-        return echo;
-    echo = g_new0(echo_t, 1);
-    g_hash_table_insert(peers->echoes, g_strdup(address), echo);
-    return echo;
+    ack_state_t *ack = g_hash_table_lookup(peers->echoes, address);
+    if (ack != NULL)
+        return ack;
+    ack = g_new0(ack_state_t, 1);
+    g_hash_table_insert(peers->echoes, g_strdup(address), ack);
+    return ack;
 }
 
-/* Gives up a connection that has stood since before the echo became due. */
-static void reset_if_silent(ts_peers_t *peers, const char *address, echo_t *echo,
-                            ts_time_us_t now_us)
+/* Resets a connection that was established before the overdue ack was requested. */
+static void reset_if_overdue(ts_peers_t *peers, const char *address, ack_state_t *ack,
+                             ts_time_us_t now_us)
 {
     ts_time_us_t connected_us = ts_peer_link_connected_us(peers->link, address);
-    bool is_due = echo->asked_us != 0 && now_us - echo->asked_us > SILENT_US;
-    bool is_new = connected_us > echo->asked_us; // the frame waited for it
-    if (!is_due || connected_us == 0)
+    bool is_overdue = ack->requested_us != 0 && now_us - ack->requested_us > ACK_TIMEOUT_US;
+    bool is_new = connected_us > ack->requested_us; // the frame was queued until it was established
+    if (!is_overdue || connected_us == 0)
         return;
-    echo->asked_us = 0;
-    echo->unheard_us = 0;
+    ack->requested_us = 0;
+    ack->unacknowledged_us = 0;
     if (is_new)
         return;
     ts_count(TS_COUNTER_PEERS_UNHEARD, 1);
@@ -55,37 +56,37 @@
 void ts_peers_mark_frame(ts_peers_t *peers, const char *address, TsPeer__Frame *frame)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    echo_t *echo = find_echo(peers, address);
-    reset_if_silent(peers, address, echo, now_us);
-    bool is_old = echo->unheard_us != 0 && now_us - echo->unheard_us > UNHEARD_US;
-    frame->number = ++echo->sent;
-    frame->heard = echo->heard;
+    ack_state_t *ack = find_or_add_ack_state(peers, address);
+    reset_if_overdue(peers, address, ack, now_us);
+    bool is_old = ack->unacknowledged_us != 0 && now_us - ack->unacknowledged_us > REQUEST_AFTER_US;
+    frame->number = ++ack->sent;
+    frame->heard = ack->heard;
     frame->wants_echo |= frame->gossip.len > 0 || is_old;
-    if (echo->unheard_us == 0)
-        echo->unheard_us = now_us;
-    if (frame->wants_echo && echo->asked_us == 0)
-        echo->asked_us = now_us;
+    if (ack->unacknowledged_us == 0)
+        ack->unacknowledged_us = now_us;
+    if (frame->wants_echo && ack->requested_us == 0)
+        ack->requested_us = now_us;
 }
 
 bool ts_peers_note_frame(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    echo_t *echo = find_echo(peers, frame->address);
-    echo->heard = frame->number;
-    bool is_news = frame->heard > echo->acknowledged && frame->heard <= echo->sent;
-    if (is_news) {
-        ts_contact_note(peers->contact, frame->address, now_us); // it hears this node, and is heard
+    ack_state_t *ack = find_or_add_ack_state(peers, frame->address);
+    ack->heard = frame->number;
+    bool is_new_ack = frame->heard > ack->acknowledged && frame->heard <= ack->sent;
+    if (is_new_ack) {
+        ts_contact_note(peers->contact, frame->address, now_us); // both directions work
         ts_peers_check_standing(peers);
-        echo->acknowledged = frame->heard;
-        echo->unheard_us = frame->heard == echo->sent ? 0 : now_us;
-        echo->asked_us = 0;
+        ack->acknowledged = frame->heard;
+        ack->unacknowledged_us = frame->heard == ack->sent ? 0 : now_us;
+        ack->requested_us = 0;
     }
     return frame->wants_echo;
 }
 
 uint32_t ts_peers_frames_sent(ts_peers_t *peers, const char *address)
 {
-    return find_echo(peers, address)->sent;
+    return find_or_add_ack_state(peers, address)->sent;
 }
 
 void ts_peers_send_echo(ts_peers_t *peers, const char *address)
@@ -101,7 +102,7 @@
     ts_peers_send(peers, address, &frame);
 }
 
-static gboolean is_stranger(gpointer address, gpointer echo, gpointer ctx)
+static gboolean is_not_member(gpointer address, gpointer ack, gpointer ctx)
 {
     const ts_peers_t *peers = ctx;
     return !g_hash_table_contains(peers->distances, address);
@@ -109,5 +110,5 @@
 
 void ts_peers_forget_echoes(ts_peers_t *peers)
 {
-    g_hash_table_foreach_remove(peers->echoes, is_stranger, peers);
+    g_hash_table_foreach_remove(peers->echoes, is_not_member, peers);
 }
--- a/src/peers/peers_evidence.c
+++ b/src/peers/peers_evidence.c
@@ -1,12 +1,12 @@
 /**
- * Evidence about back ends, merged over the fleet.
+ * Aggregation of evidence about backends over the fleet.
  *
- * Counts of answers go up: from a node to its parent in the zone's tree, from the zone's head to
- * the one head that collects for all zones. They are sent only of back ends that some answer was
- * unusual of, or that are believed bad already; while all is well nothing is sent but for a late
- * answer now and then. The collector adds the counts up and tells everybody the sums of what is
- * bad, down the same tree. The sums replace what was heard before, so that a message that is lost,
- * late or sent twice does no harm, and they fade by themselves.
+ * Counts of answers are sent up: from a node to its parent in the zone's tree, and from each zone
+ * head to the collector, which is one of the zone heads. Only backends that had an anomalous answer
+ * or are already considered anomalous are included, so that a healthy fleet sends next to nothing:
+ * an occasional late answer. The collector adds up the counts and sends the sums of anomalous
+ * backends to all nodes, down the same tree. Sums replace those received before and decay over
+ * time, so that lost, late or duplicate messages do no harm.
  */
 #include <string.h>
 
@@ -14,38 +14,38 @@
 #include "tealspar/counters.h"
 #include "tealspar/hash.h"
 
-/* Counts are gathered for so long before they go one step up. */
-#define TELL_MS 50
-/* Sums that did not change much are told again after this, well within their half-life. */
-#define REPEAT_US (400 * TS_US_PER_MS)
-/* What counts as a change of what was told. */
-#define FAILING_CHANGE 0.1
-#define SLOWNESS_CHANGE 1.2
+/* Counts are batched for this long before they are sent one level up. */
+#define BATCH_MS 50
+/* Interval at which unchanged sums are repeated, well within their half-life. */
+#define REPEAT_INTERVAL_US (400 * TS_US_PER_MS)
+/* Minimum change, against the sums sent last, for sending again before that interval. */
+#define FAILURE_RATE_CHANGE 0.1
+#define LATENCY_RATIO_CHANGE 1.2
 /*
- * When so many back ends, and more than this share of those that answered within a turn, look bad
- * at once, it is rather this node or its link that is.
+ * If at least this many backends, and more than this share of those that answered since the last
+ * batch, are anomalous at once, the cause is more likely this node or its network link.
  */
-#define OWN_TROUBLE_LEAST 6U
-#define OWN_TROUBLE_SHARE 0.5
-/* Most that one row may add, so that no single node outweighs the others. */
+#define LOCAL_FAULT_MIN_BACKENDS 6U
+#define LOCAL_FAULT_MIN_SHARE 0.5
+/* Limits on the contribution of a single row, so that no node outweighs the others. */
 #define ROW_ANSWERS_MAX 64.0F
 #define ROW_LOG_RATIO_MAX 3.0F
-/* A sequence that lies behind by less than this is old, by more is that of a new process. */
+/* A sequence number behind by less than this is stale, by more is that of a restarted node. */
 #define SEQUENCE_WINDOW 4096U
 
-/* Rows of one frame, built while instances are visited. */
+/* Rows of one frame, filled while iterating over the instances. */
 typedef struct rows {
     ts_peers_t *peers;
     ts_time_us_t now_us;
     GArray *rows; /* of TsPeer__EvidenceRow */
-    bool is_own_trouble;
-} rows_t;
+    bool is_local_fault;
+} batch_t;
 
-/* Back ends that answered this node since the last turn. */
+/* Backends that answered this node since the last batch. */
 typedef struct activity {
     ts_time_us_t since_us;
     unsigned active;
-    unsigned unusual; /* of these, the ones of which an answer was unusual */
+    unsigned anomalous; /* of these, backends with an anomalous answer */
 } activity_t;
 
 static void send_rows(ts_peers_t *peers, const GArray *rows, bool is_sums,
@@ -76,7 +76,7 @@
         ts_peers_send(peers, parent, frame);
 }
 
-static bool is_worth_telling(const ts_instance_t *instance, ts_time_us_t now_us)
+static bool is_worth_sending(const ts_instance_t *instance, ts_time_us_t now_us)
 {
     ts_evidence_sums_t known = ts_instance_evidence(instance, now_us);
     return instance->outbox.has_sign || ts_evidence_is_unusual(&known);
@@ -86,23 +86,23 @@
 {
     activity_t *activity = ctx;
     activity->active += instance->own_us >= activity->since_us;
-    activity->unusual += instance->own_sign_us >= activity->since_us;
+    activity->anomalous += instance->own_sign_us >= activity->since_us;
 }
 
-static bool is_own_trouble(const ts_peers_t *peers)
+static bool is_local_fault(const ts_peers_t *peers)
 {
     activity_t activity = {MAX(peers->evidence_us, 1), 0, 0};
     ts_registry_each_instance(peers->gateway->registry, count_activity, &activity);
-    return activity.unusual >= OWN_TROUBLE_LEAST &&
-           activity.unusual > OWN_TROUBLE_SHARE * activity.active;
+    return activity.anomalous >= LOCAL_FAULT_MIN_BACKENDS &&
+           activity.anomalous > LOCAL_FAULT_MIN_SHARE * activity.active;
 }
 
-static void take_outbox(ts_instance_t *instance, void *ctx)
+static void drain_outbox(ts_instance_t *instance, void *ctx)
 {
-    rows_t *batch = ctx;
-    if (ts_evidence_count_is_empty(&instance->outbox) || !is_worth_telling(instance, batch->now_us))
+    batch_t *batch = ctx;
+    if (ts_evidence_count_is_empty(&instance->outbox) || !is_worth_sending(instance, batch->now_us))
         return;
-    if (batch->is_own_trouble && instance->own_sign_us >= batch->peers->evidence_us) {
+    if (batch->is_local_fault && instance->own_sign_us >= batch->peers->evidence_us) {
         instance->outbox = (ts_evidence_count_t){0};
         return;
     }
@@ -117,12 +117,12 @@
     instance->outbox = (ts_evidence_count_t){0};
 }
 
-static void tell_up(ts_peers_t *peers, ts_time_us_t now_us)
+static void send_counts(ts_peers_t *peers, ts_time_us_t now_us)
 {
-    rows_t batch = {peers, now_us, g_array_new(FALSE, FALSE, sizeof(TsPeer__EvidenceRow)),
-                    is_own_trouble(peers)};
-    ts_registry_each_instance(peers->gateway->registry, take_outbox, &batch);
-    ts_count(TS_COUNTER_EVIDENCE_WITHHELD, batch.is_own_trouble);
+    batch_t batch = {peers, now_us, g_array_new(FALSE, FALSE, sizeof(TsPeer__EvidenceRow)),
+                     is_local_fault(peers)};
+    ts_registry_each_instance(peers->gateway->registry, drain_outbox, &batch);
+    ts_count(TS_COUNTER_EVIDENCE_WITHHELD, batch.is_local_fault);
     if (batch.rows->len > 0)
         send_rows(peers, batch.rows, false, send_up);
     g_array_unref(batch.rows);
@@ -130,7 +130,7 @@
 
 // -- Down: sums
 
-/* To the heads of the other zones and this node's own children. */
+/* Sends to the heads of the other zones and to this node's children. */
 static void send_down(ts_peers_t *peers, TsPeer__Frame *frame)
 {
     for (guint i = 0; i < peers->zone_heads->len; i++) {
@@ -141,31 +141,32 @@
     ts_peers_send_to_children(peers, frame);
 }
 
-static bool is_news(const ts_instance_t *instance, const ts_evidence_sums_t *sums,
-                    ts_time_us_t now_us)
+static bool is_worth_publishing(const ts_instance_t *instance, const ts_evidence_sums_t *sums,
+                                ts_time_us_t now_us)
 {
-    ts_evidence_sums_t told = ts_evidence_sums(&instance->heard, now_us);
-    double failing = ts_evidence_failing(sums) - ts_evidence_failing(&told);
-    double slowness = ts_evidence_slowness(sums) / ts_evidence_slowness(&told);
-    bool is_changed = failing > FAILING_CHANGE || failing < -FAILING_CHANGE ||
-                      slowness > SLOWNESS_CHANGE || slowness < 1 / SLOWNESS_CHANGE;
-    bool is_unusual = ts_evidence_is_unusual(sums) || ts_evidence_is_unusual(&told);
-    return is_unusual && (is_changed || now_us - instance->heard.at_us > REPEAT_US);
+    ts_evidence_sums_t published = ts_evidence_sums(&instance->heard, now_us);
+    double rate_change = ts_evidence_failing(sums) - ts_evidence_failing(&published);
+    double ratio_change = ts_evidence_slowness(sums) / ts_evidence_slowness(&published);
+    bool is_changed = rate_change > FAILURE_RATE_CHANGE || rate_change < -FAILURE_RATE_CHANGE ||
+                      ratio_change > LATENCY_RATIO_CHANGE ||
+                      ratio_change < 1 / LATENCY_RATIO_CHANGE;
+    bool is_anomalous = ts_evidence_is_unusual(sums) || ts_evidence_is_unusual(&published);
+    return is_anomalous && (is_changed || now_us - instance->heard.at_us > REPEAT_INTERVAL_US);
 }
 
-static void collect(ts_instance_t *instance, void *ctx)
+static void aggregate_outbox(ts_instance_t *instance, void *ctx)
 {
-    rows_t *batch = ctx;
-    if (ts_evidence_count_is_empty(&instance->outbox) || !is_worth_telling(instance, batch->now_us))
+    batch_t *batch = ctx;
+    if (ts_evidence_count_is_empty(&instance->outbox) || !is_worth_sending(instance, batch->now_us))
         return;
     if (instance->collected == NULL)
         instance->collected = g_new0(ts_evidence_t, 1);
     if (instance->heard.at_us > instance->collected->at_us)
-        *instance->collected = instance->heard; // goes on from what another collector knew
+        *instance->collected = instance->heard; // take over from a previous collector
     ts_evidence_note(instance->collected, &instance->outbox, batch->now_us);
     instance->outbox = (ts_evidence_count_t){0};
     ts_evidence_sums_t sums = ts_evidence_sums(instance->collected, batch->now_us);
-    if (!is_news(instance, &sums, batch->now_us))
+    if (!is_worth_publishing(instance, &sums, batch->now_us))
         return;
     ts_evidence_set(&instance->heard, &sums, batch->now_us);
     TsPeer__EvidenceRow row = TS_PEER__EVIDENCE_ROW__INIT;
@@ -178,23 +179,23 @@
     g_array_append_val(batch->rows, row);
 }
 
-static void tell_down(ts_peers_t *peers, ts_time_us_t now_us)
+static void send_sums(ts_peers_t *peers, ts_time_us_t now_us)
 {
-    rows_t batch = {peers, now_us, g_array_new(FALSE, FALSE, sizeof(TsPeer__EvidenceRow)), false};
-    ts_registry_each_instance(peers->gateway->registry, collect, &batch);
+    batch_t batch = {peers, now_us, g_array_new(FALSE, FALSE, sizeof(TsPeer__EvidenceRow)), false};
+    ts_registry_each_instance(peers->gateway->registry, aggregate_outbox, &batch);
     if (batch.rows->len > 0)
         send_rows(peers, batch.rows, true, send_down);
     g_array_unref(batch.rows);
 }
 
-static void tell(uv_timer_t *timer)
+static void send_batch(uv_timer_t *timer)
 {
     ts_peers_t *peers = timer->data;
     ts_time_us_t now_us = ts_clock_now_us();
     if (peers->is_collector)
-        tell_down(peers, now_us);
+        send_sums(peers, now_us);
     else
-        tell_up(peers, now_us);
+        send_counts(peers, now_us);
     peers->evidence_us = now_us;
 }
 
@@ -202,12 +203,12 @@
 {
     ts_peers_t *peers = ctx;
     if (!uv_is_active((uv_handle_t *)&peers->evidence_timer))
-        uv_timer_start(&peers->evidence_timer, tell, TELL_MS, 0);
+        uv_timer_start(&peers->evidence_timer, send_batch, BATCH_MS, 0);
 }
 
 // -- Receiving
 
-/* Whether the frame is newer than what came from its sender before. */
+/* Records a sequence number; returns whether it is newer than the sender's previous one. */
 static bool note_sequence(ts_peers_t *peers, const char *name, uint32_t sequence)
 {
     gpointer last = NULL;
@@ -219,19 +220,18 @@
     return true;
 }
 
-static void take_counts(ts_instance_t *instance, const TsPeer__EvidenceRow *row,
-                        ts_time_us_t now_us)
+static void add_counts(ts_instance_t *instance, const TsPeer__EvidenceRow *row, ts_time_us_t now_us)
 {
     ts_evidence_count_t count = {.has_sign = true};
     count.answers = (uint32_t)CLAMP(row->answers, 0, ROW_ANSWERS_MAX);
     count.failures = (uint32_t)CLAMP(row->failures, 0, (float)count.answers);
     count.timed = (uint32_t)CLAMP(row->timed, 0, ROW_ANSWERS_MAX);
-    float most = ROW_LOG_RATIO_MAX * (float)count.timed;
-    count.log_ratio = CLAMP(row->log_ratio, -most, most);
+    float log_ratio_max = ROW_LOG_RATIO_MAX * (float)count.timed;
+    count.log_ratio = CLAMP(row->log_ratio, -log_ratio_max, log_ratio_max);
     ts_instance_add_to_outbox(instance, &count, now_us);
 }
 
-static void take_sums(ts_instance_t *instance, const TsPeer__EvidenceRow *row, ts_time_us_t now_us)
+static void apply_sums(ts_instance_t *instance, const TsPeer__EvidenceRow *row, ts_time_us_t now_us)
 {
     ts_evidence_sums_t sums = {row->answers, row->failures, row->timed, row->log_ratio};
     ts_evidence_set(&instance->heard, &sums, now_us);
@@ -250,28 +250,28 @@
         ts_life_t life = {row->instance, row->born_ms};
         ts_instance_t *instance = ts_registry_find(peers->gateway->registry, life);
         if (instance == NULL)
-            continue; // that life is not known here yet, or no longer the present one
+            continue; // this incarnation is not known here yet, or was replaced
         if (evidence->is_sums)
-            take_sums(instance, row, now_us);
+            apply_sums(instance, row, now_us);
         else
-            take_counts(instance, row, now_us);
+            add_counts(instance, row, now_us);
     }
     if (!evidence->is_sums)
         return;
-    TsPeer__Evidence onward = *evidence;
+    TsPeer__Evidence forwarded = *evidence;
     TsPeer__Frame copy = TS_PEER__FRAME__INIT;
-    onward.sequence = ++peers->evidence_sequence;
-    copy.evidence = &onward;
+    forwarded.sequence = ++peers->evidence_sequence;
+    copy.evidence = &forwarded;
     ts_peers_send_to_children(peers, &copy);
 }
 
-// -- Who collects
+// -- Choice of the collector
 
 void ts_peers_find_collector(ts_peers_t *peers)
 {
-    GHashTable *heads = g_hash_table_new(g_str_hash, g_str_equal); // zone -> its first member
-    const ts_view_member_t *best = NULL;
-    uint64_t best_weight = 0;
+    GHashTable *heads = g_hash_table_new(g_str_hash, g_str_equal); // zone -> first live member
+    const ts_view_member_t *collector = NULL;
+    uint64_t collector_weight = 0;
     for (size_t i = 0; i < peers->view->count; i++) {
         ts_view_member_t *member = &peers->view->members[i];
         ts_view_member_t *head = g_hash_table_lookup(heads, member->zone);
@@ -287,14 +287,14 @@
         const ts_view_member_t *head = value;
         uint64_t weight = ts_hash_mix(head->id, ts_hash_text("evidence"));
         g_ptr_array_add(peers->zone_heads, value);
-        if (best == NULL || weight > best_weight) {
-            best = head;
-            best_weight = weight;
+        if (collector == NULL || weight > collector_weight) {
+            collector = head;
+            collector_weight = weight;
         }
     }
     g_hash_table_unref(heads);
-    peers->collector = best == NULL ? NULL : best->address;
-    peers->is_collector = best != NULL && best->is_self;
+    peers->collector = collector == NULL ? NULL : collector->address;
+    peers->is_collector = collector != NULL && collector->is_self;
 }
 
 void ts_peers_open_evidence(ts_peers_t *peers)
--- a/src/peers/peers_loans.c
+++ b/src/peers/peers_loans.c
@@ -1,14 +1,12 @@
-/** Loans of extra sends: a node whose budget is spent asks others for what they do not need. */
+/** Loans of extra sends: a node with an exhausted retry budget borrows from other nodes. */
 #include "peers_internal.h"
 #include "tealspar/counters.h"
 #include "tealspar/mechanism.h"
 
-/* Of extra sends: how many nodes are asked at once, how often, and what each gives at most. */
-#define LOAN_ASKED 2U
-#define LOAN_ASK_US (20 * TS_US_PER_MS)
-#define LOAN_MOST 2U
-
-/* -- Loans of extra sends ---------------------------------------------------------------------- */
+/* Nodes asked per request, minimum interval of requests, and extra sends granted per reply. */
+#define LOAN_FANOUT 2U
+#define LOAN_INTERVAL_US (20 * TS_US_PER_MS)
+#define LOAN_GRANT_MAX 2U
 
 static void send_loan(ts_peers_t *peers, const char *address, const char *service, uint32_t granted)
 {
@@ -32,7 +30,8 @@
         ts_retry_budget_borrow(&service->budget, loan->granted, now_us);
         return;
     }
-    uint32_t granted = ts_retry_budget_lend(&service->budget, &gateway->rule, LOAN_MOST, now_us);
+    uint32_t granted =
+        ts_retry_budget_lend(&service->budget, &gateway->rule, LOAN_GRANT_MAX, now_us);
     if (granted > 0) {
         ts_count(TS_COUNTER_EXTRAS_LENT, granted);
         send_loan(peers, address, loan->service, granted);
@@ -44,10 +43,10 @@
     size_t count = peers->view->count;
     size_t begin = ts_gateway_random(peers->gateway) % count;
     bool is_off = !ts_mechanism_is_on(TS_MECHANISM_LOANS);
-    if (is_off || now_us - service->budget.asked_us < LOAN_ASK_US)
+    if (is_off || now_us - service->budget.asked_us < LOAN_INTERVAL_US)
         return;
     service->budget.asked_us = now_us;
-    for (size_t i = 0, asked = 0; i < count && asked < LOAN_ASKED; i++) {
+    for (size_t i = 0, asked = 0; i < count && asked < LOAN_FANOUT; i++) {
         const ts_view_member_t *member = &peers->view->members[(begin + i) % count];
         if (member->is_self || member->state != TS_MEMBER_LIVE)
             continue;
--- a/src/peers/peers_place.c
+++ b/src/peers/peers_place.c
@@ -1,13 +1,13 @@
-/** This node's place among those that keep connections to an instance. */
+/** Regions of members, and this node's rank among those that keep connections to an instance. */
 #include <string.h>
 
 #include "peers_internal.h"
 #include "tealspar/hash.h"
 
-typedef struct claim {
-    bool is_near;
+typedef struct candidate {
+    bool is_same_region;
     uint64_t weight;
-} claim_t;
+} candidate_t;
 
 static const char *region_of(const ts_peers_t *peers, const char *zone)
 {
@@ -20,8 +20,8 @@
     const char *own_zone = peers->gateway->settings->zone;
     if (strcmp(zone, own_zone) == 0)
         return TS_DISTANCE_ZONE;
-    bool is_near = region != NULL && region == region_of(peers, own_zone);
-    return is_near ? TS_DISTANCE_REGION : TS_DISTANCE_FAR;
+    bool is_same_region = region != NULL && region == region_of(peers, own_zone);
+    return is_same_region ? TS_DISTANCE_REGION : TS_DISTANCE_FAR;
 }
 
 void ts_peers_locate_members(ts_peers_t *peers)
@@ -46,16 +46,17 @@
     return (ts_distance_t)GPOINTER_TO_INT(distance);
 }
 
-// `region` is interned, so that one comparison of pointers tells.
-static claim_t claim_of(const ts_peers_t *peers, size_t i, const char *region, uint64_t instance)
+// `region` is interned, so that comparing pointers is sufficient.
+static candidate_t make_candidate(const ts_peers_t *peers, size_t i, const char *region,
+                                  uint64_t instance)
 {
-    bool is_near = region != NULL && g_ptr_array_index(peers->regions, i) == region;
-    return (claim_t){is_near, ts_hash_mix(peers->view->members[i].id, instance)};
+    bool is_same_region = region != NULL && g_ptr_array_index(peers->regions, i) == region;
+    return (candidate_t){is_same_region, ts_hash_mix(peers->view->members[i].id, instance)};
 }
 
-static bool comes_before(claim_t a, claim_t b)
+static bool ranks_before(candidate_t a, candidate_t b)
 {
-    return a.is_near != b.is_near ? a.is_near : a.weight > b.weight;
+    return a.is_same_region != b.is_same_region ? a.is_same_region : a.weight > b.weight;
 }
 
 uint64_t ts_peers_changes(const ts_peers_t *peers)
@@ -67,13 +68,13 @@
 {
     const char *region = region_of(peers, instance->zone);
     uint64_t id = ts_hash_text(instance->id);
-    claim_t own = {false, 0};
-    unsigned place = 0;
+    candidate_t own = {false, 0};
+    unsigned rank = 0;
     for (size_t i = 0; i < peers->view->count; i++) {
         if (peers->view->members[i].is_self)
-            own = claim_of(peers, i, region, id);
+            own = make_candidate(peers, i, region, id);
     }
     for (size_t i = 0; i < peers->view->count; i++)
-        place += comes_before(claim_of(peers, i, region, id), own);
-    return place;
+        rank += ranks_before(make_candidate(peers, i, region, id), own);
+    return rank;
 }
--- a/src/peers/peers_quarantine.c
+++ b/src/peers/peers_quarantine.c
@@ -1,8 +1,9 @@
 /**
- * The quarantine's rows between nodes. What a node finds goes to the first node of each zone, and
- * from there down the zone's tree; each node passes on what is news to it. What was lost on the way
- * is found by comparing: each second a node that holds something, or is young, sends the sum over
- * what it holds to a node drawn at random, and both send their rows if the sums differ.
+ * Replication of the quarantine between nodes. A node sends its own changes to the head of each
+ * zone, from where they are forwarded down the zone's tree; each node forwards only rows that
+ * changed its own table. Lost rows are repaired by anti-entropy: once a second, each node that has
+ * suspects or blocked requests, or has just started, sends the checksum of its blocked requests to
+ * a random node, and if the checksums differ both send their rows.
  */
 #include <string.h>
 
@@ -11,29 +12,29 @@
 #include "tealspar/quarantine.h"
 #include "tealspar/request_digest.h"
 
-/* Rows are gathered for so long before they go out. */
-#define TELL_MS 2
-/* Every so many ticks of membership (250 ms) a node compares. */
+/* Changed rows are batched for this long before they are sent. */
+#define BATCH_MS 2
+/* Ticks of membership (250 ms) between comparisons. */
 #define COMPARE_TICKS 4U
-/* A node younger than this compares though it holds nothing: it may have been started anew. */
-#define YOUNG_US (5 * TS_US_PER_S)
-/* Suspects that go along with what is held when nodes differ; a row is about 60 bytes. */
-#define SUSPECTS_TOLD 64U
+/* A node that started less than this ago compares even an empty table: it may have restarted. */
+#define STARTUP_US (5 * TS_US_PER_S)
+/* Suspects sent in addition to the blocked requests when checksums differ; a row has about 60 B. */
+#define SUSPECTS_SENT_MAX 64U
 #define ROWS_MAX 2048U
 
 struct ts_peers_quarantine {
-    GHashTable *told; /* set of digests that wait to be told, owned */
-    uv_timer_t timer; /* runs while there are any */
+    GHashTable *unsent; /* set of digests whose rows are to be sent, owned */
+    uv_timer_t timer;   /* runs while the set is not empty */
 };
 
 // -- Rows
 
 typedef struct row_list {
-    GArray *rows;       /* of TsPeer__QuarantineRow; texts and digests are owned */
-    GHashTable *wanted; /* only these digests; NULL: all */
+    GArray *rows;       /* of TsPeer__QuarantineRow; strings and digests are owned */
+    GHashTable *wanted; /* digests to include; NULL: all */
 } row_list_t;
 
-static bool add_row(void *ctx, const ts_quarantine_row_t *row)
+static bool append_row(void *ctx, const ts_quarantine_row_t *row)
 {
     row_list_t *list = ctx;
     if (list->wanted != NULL && !g_hash_table_contains(list->wanted, &row->digest))
@@ -63,7 +64,8 @@
 {
     row_list_t list = {g_array_new(FALSE, FALSE, sizeof(TsPeer__QuarantineRow)), wanted};
     g_array_set_clear_func(list.rows, clear_row);
-    ts_quarantine_each(peers->gateway->quarantine, ts_clock_now_us(), suspects_max, add_row, &list);
+    ts_quarantine_each(peers->gateway->quarantine, ts_clock_now_us(), suspects_max, append_row,
+                       &list);
     return list.rows;
 }
 
@@ -95,7 +97,7 @@
     ts_peers_send_to_children(peers, frame);
 }
 
-/* To the first node of each zone, and on to this node's children if it is one of these. */
+/* Sends to all zone heads; a node that is one itself sends to its children. */
 static void send_to_heads(ts_peers_t *peers, TsPeer__Frame *frame, const char *address)
 {
     for (guint i = 0; i < peers->zone_heads->len; i++) {
@@ -107,31 +109,31 @@
     }
 }
 
-// -- Telling what this node found
+// -- Sending local changes
 
-static void tell_all(uv_timer_t *timer)
+static void send_changes(uv_timer_t *timer)
 {
     ts_peers_t *peers = timer->data;
-    GHashTable *told = peers->quarantine->told;
-    GArray *rows = collect_rows(peers, told, ROWS_MAX);
+    GHashTable *unsent = peers->quarantine->unsent;
+    GArray *rows = collect_rows(peers, unsent, ROWS_MAX);
     if (rows->len > 0)
         send_rows(peers, rows, false, send_to_heads, NULL);
     g_array_unref(rows);
-    g_hash_table_remove_all(told);
+    g_hash_table_remove_all(unsent);
 }
 
-static void note_news(void *ctx, const ts_quarantine_row_t *row)
+static void queue_change(void *ctx, const ts_quarantine_row_t *row)
 {
     ts_peers_t *peers = ctx;
     ts_peers_quarantine_t *own = peers->quarantine;
-    if (g_hash_table_size(own->told) >= ROWS_MAX)
-        return; // comparing brings what is held
-    g_hash_table_add(own->told, g_memdup2(&row->digest, sizeof(row->digest)));
+    if (g_hash_table_size(own->unsent) >= ROWS_MAX)
+        return; // the next comparison transfers blocked requests
+    g_hash_table_add(own->unsent, g_memdup2(&row->digest, sizeof(row->digest)));
     if (!uv_is_active((uv_handle_t *)&own->timer))
-        uv_timer_start(&own->timer, tell_all, TELL_MS, 0);
+        uv_timer_start(&own->timer, send_changes, BATCH_MS, 0);
 }
 
-// -- Comparing
+// -- Anti-entropy
 
 static void send_comparison(ts_peers_t *peers, const char *address)
 {
@@ -143,8 +145,8 @@
     ts_peers_send(peers, address, &frame);
 }
 
-/* One of a list of members, drawn at random, that is not this node; NULL: there is none. */
-static const ts_view_member_t *draw_other(const ts_peers_t *peers, const GPtrArray *members)
+/* A random live member of the list other than this node, or NULL. */
+static const ts_view_member_t *choose_other(const ts_peers_t *peers, const GPtrArray *members)
 {
     guint begin = members->len == 0 ? 0 : ts_gateway_random(peers->gateway) % members->len;
     for (guint i = 0; i < members->len; i++) {
@@ -158,14 +160,14 @@
 void ts_peers_compare_quarantine(ts_peers_t *peers)
 {
     const ts_gateway_t *gateway = peers->gateway;
-    bool is_young = ts_clock_now_us() - gateway->opened_us < YOUNG_US;
-    bool is_idle = ts_quarantine_is_empty(gateway->quarantine) && !is_young;
+    bool is_starting = ts_clock_now_us() - gateway->opened_us < STARTUP_US;
+    bool is_idle = ts_quarantine_is_empty(gateway->quarantine) && !is_starting;
     if (peers->ticks % COMPARE_TICKS != 0 || is_idle)
         return;
-    const ts_view_member_t *near = draw_other(peers, peers->zone_order);
+    const ts_view_member_t *near = choose_other(peers, peers->zone_order);
     bool is_head = peers->own_place == 0;
     const ts_view_member_t *far =
-        is_head || near == NULL ? draw_other(peers, peers->zone_heads) : NULL;
+        is_head || near == NULL ? choose_other(peers, peers->zone_heads) : NULL;
     if (near != NULL)
         send_comparison(peers, near->address);
     if (far != NULL)
@@ -189,30 +191,30 @@
     return true;
 }
 
-/* Merges rows and passes on, down the zone's tree, those that are news here. */
-static void take_rows(ts_peers_t *peers, const TsPeer__Quarantine *quarantine)
+/* Merges rows, and forwards those that changed the local table down the zone's tree. */
+static void merge_rows(ts_peers_t *peers, const TsPeer__Quarantine *quarantine)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    GHashTable *news = ts_request_digest_set();
+    GHashTable *changed = ts_request_digest_set();
     for (size_t i = 0; i < quarantine->n_rows; i++) {
         ts_quarantine_row_t row;
         if (!read_row(quarantine->rows[i], &row))
             ts_count_error(TS_E_PROTOCOL);
         else if (ts_quarantine_merge(peers->gateway->quarantine, &row, now_us))
-            g_hash_table_add(news, g_memdup2(&row.digest, sizeof(row.digest)));
+            g_hash_table_add(changed, g_memdup2(&row.digest, sizeof(row.digest)));
     }
-    if (g_hash_table_size(news) > 0) {
-        GArray *rows = collect_rows(peers, news, ROWS_MAX);
+    if (g_hash_table_size(changed) > 0) {
+        GArray *rows = collect_rows(peers, changed, ROWS_MAX);
         send_rows(peers, rows, false, send_down, NULL);
         g_array_unref(rows);
     }
-    g_hash_table_unref(news);
+    g_hash_table_unref(changed);
 }
 
-/* All that is held and the latest suspects. */
-static void send_all(ts_peers_t *peers, const char *address, bool wants_rows)
+/* Sends all blocked requests and the latest suspects. */
+static void send_table(ts_peers_t *peers, const char *address, bool wants_rows)
 {
-    GArray *rows = collect_rows(peers, NULL, SUSPECTS_TOLD);
+    GArray *rows = collect_rows(peers, NULL, SUSPECTS_SENT_MAX);
     send_rows(peers, rows, wants_rows, send_to_one, address);
     g_array_unref(rows);
 }
@@ -225,18 +227,18 @@
 void ts_peers_take_quarantine(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     const TsPeer__Quarantine *quarantine = frame->quarantine;
-    take_rows(peers, quarantine);
+    merge_rows(peers, quarantine);
     if (quarantine->is_comparison && is_different(peers, quarantine->sum))
-        send_all(peers, frame->address, true);
+        send_table(peers, frame->address, true);
     else if (quarantine->wants_rows)
-        send_all(peers, frame->address, false);
+        send_table(peers, frame->address, false);
 }
 
 void ts_peers_open_quarantine(ts_peers_t *peers)
 {
     peers->quarantine = g_new0(ts_peers_quarantine_t, 1);
-    peers->quarantine->told = ts_request_digest_set();
+    peers->quarantine->unsent = ts_request_digest_set();
     uv_timer_init(peers->gateway->loop, &peers->quarantine->timer);
     peers->quarantine->timer.data = peers;
-    ts_quarantine_on_news(peers->gateway->quarantine, note_news, peers);
+    ts_quarantine_on_news(peers->gateway->quarantine, queue_change, peers);
 }
--- a/src/peers/peers_rates.c
+++ b/src/peers/peers_rates.c
@@ -1,4 +1,4 @@
-/** Rates that the fleet keeps together: who deals an account out, and the messages. */
+/** Fleet-wide rate limits: choice of the home and deputy of an account, and their messages. */
 #include <string.h>
 
 #include "peers_internal.h"
@@ -6,31 +6,33 @@
 #include "tealspar/hash.h"
 
 /*
- * A process that is younger than this may not have found the others yet: it needs half of the nodes
- * that its settings suggest in view before it believes anybody home, later half of those it saw.
+ * A process that started less than this ago may not have discovered the other nodes yet. Until then
+ * it requires a majority of the expected number of nodes in its view before it accepts any node as
+ * home; afterwards a majority of the largest view so far is sufficient.
  */
-#define YOUNG_US (2 * TS_US_PER_S)
-/* A view that has stayed smaller for so long is that of a fleet that has become smaller. */
-#define SHRUNK_US (60 * TS_US_PER_S)
+#define STARTUP_US (2 * TS_US_PER_S)
+/* After this time a smaller view is taken as the new size of the fleet. */
+#define SHRINK_CONFIRM_US (60 * TS_US_PER_S)
 
-/* Rates go over the wire in thousandths. */
+/* Rates are sent in thousandths. */
 #define MILLI 1000.0
 
-/* Whether this node sees enough of the fleet to agree with the others on who is home. */
+/* Whether the view holds a majority of the fleet, so that nodes agree on the home. */
 static bool is_in_majority(const ts_peers_t *peers)
 {
     const ts_gateway_t *gateway = peers->gateway;
-    bool is_young = ts_clock_now_us() - gateway->opened_us < YOUNG_US;
-    bool has_shrunk = peers->shrunk_us != 0 && ts_clock_now_us() - peers->shrunk_us > SHRUNK_US;
+    bool is_starting = ts_clock_now_us() - gateway->opened_us < STARTUP_US;
+    bool has_shrunk =
+        peers->shrunk_us != 0 && ts_clock_now_us() - peers->shrunk_us > SHRINK_CONFIRM_US;
     size_t fleet = has_shrunk ? peers->view->count : peers->members_most;
-    if (is_young)
+    if (is_starting)
         fleet = MAX(fleet, gateway->nodes);
     return 2 * peers->view->count > fleet;
 }
 
-/* The live member of the highest rendezvous weight, of a zone or (NULL) of all; NULL: none. */
-static const ts_view_member_t *find_dealer(const ts_peers_t *peers, const char *account,
-                                           const char *zone)
+/* The live member with the highest rendezvous weight in `zone` (NULL: any), or NULL. */
+static const ts_view_member_t *find_highest_weight(const ts_peers_t *peers, const char *account,
+                                                   const char *zone)
 {
     const ts_view_member_t *best = NULL;
     uint64_t best_weight = 0;
@@ -38,8 +40,9 @@
     for (size_t i = 0; i < peers->view->count; i++) {
         const ts_view_member_t *member = &peers->view->members[i];
         uint64_t weight = ts_hash_mix(member->id, id);
-        bool is_near = zone == NULL || strcmp(member->zone, zone) == 0;
-        if (!is_near || member->state != TS_MEMBER_LIVE || (best != NULL && weight <= best_weight))
+        bool is_in_zone = zone == NULL || strcmp(member->zone, zone) == 0;
+        if (!is_in_zone || member->state != TS_MEMBER_LIVE ||
+            (best != NULL && weight <= best_weight))
             continue;
         best = member;
         best_weight = weight;
@@ -47,13 +50,13 @@
     return best;
 }
 
-/* Whether this node may be home of anything. */
+/* Whether this node may be home of any account. */
 static bool can_be_home(const ts_peers_t *peers)
 {
     return is_in_majority(peers) && ts_contact_has_majority(peers->contact, ts_clock_now_us());
 }
 
-static ts_rate_dealer_t dealer(const ts_view_member_t *member, const char **address)
+static ts_rate_dealer_t issuer_of(const ts_view_member_t *member, const char **address)
 {
     *address = member->address;
     return member->is_self ? TS_RATE_DEALER_SELF : TS_RATE_DEALER_PEER;
@@ -62,24 +65,24 @@
 ts_rate_dealer_t ts_peers_rate_home(const ts_peers_t *peers, const char *account,
                                     const char **address)
 {
-    const ts_view_member_t *home = find_dealer(peers, account, NULL);
+    const ts_view_member_t *home = find_highest_weight(peers, account, NULL);
     bool is_certain = home != NULL && is_in_majority(peers);
     if (is_certain && home->is_self)
-        is_certain = !peers->is_out && can_be_home(peers); // begins when the limiter was told
-    return is_certain ? dealer(home, address) : TS_RATE_DEALER_NONE;
+        is_certain = !peers->is_out && can_be_home(peers); // not before the limiter was notified
+    return is_certain ? issuer_of(home, address) : TS_RATE_DEALER_NONE;
 }
 
 ts_rate_dealer_t ts_peers_rate_deputy(const ts_peers_t *peers, const char *account,
                                       const char **address)
 {
     const char *zone = peers->gateway->settings->zone;
-    const ts_view_member_t *home = find_dealer(peers, account, NULL);
-    bool is_near = home != NULL && strcmp(home->zone, zone) == 0 && is_in_majority(peers);
-    const ts_view_member_t *deputy = is_near ? home : find_dealer(peers, account, zone);
-    return deputy == NULL ? TS_RATE_DEALER_SELF : dealer(deputy, address);
+    const ts_view_member_t *home = find_highest_weight(peers, account, NULL);
+    bool is_in_zone = home != NULL && strcmp(home->zone, zone) == 0 && is_in_majority(peers);
+    const ts_view_member_t *deputy = is_in_zone ? home : find_highest_weight(peers, account, zone);
+    return deputy == NULL ? TS_RATE_DEALER_SELF : issuer_of(deputy, address);
 }
 
-/* Who may be home: the same digest, the same homes. */
+/* Digest of the live members, which determine the homes. */
 static uint64_t digest_live(const ts_view_t *view)
 {
     uint64_t digest = 0;
@@ -123,13 +126,13 @@
     ts_time_us_t now_us = ts_clock_now_us();
     const char *address = NULL;
     if (traffic == NULL || ts_tenants_count(traffic->tenants) == 0)
-        return; // nobody is home of anything
+        return; // without tenants there are no accounts
     while ((address = ts_contact_next_call(peers->contact, now_us)) != NULL)
         ts_peers_call(peers, address);
     ts_peers_check_standing(peers);
 }
 
-static uint32_t to_milli(double rate)
+static uint32_t to_thousandths(double rate)
 {
     return (uint32_t)MIN(rate * MILLI, UINT32_MAX);
 }
@@ -143,14 +146,14 @@
     rate.in_hand = row->in_hand;
     rate.spent_alone = row->spent_alone;
     rate.wanted = row->wanted;
-    rate.used_milli = to_milli(row->used);
-    rate.right_milli = to_milli(row->right);
-    rate.foreign_milli = to_milli(row->foreign);
+    rate.used_milli = to_thousandths(row->used);
+    rate.right_milli = to_thousandths(row->right);
+    rate.foreign_milli = to_thousandths(row->foreign);
     rate.foreign_from = row->foreign_from;
     rate.is_alone = row->is_alone;
     rate.has_moved = row->has_moved;
     rate.is_leaving = row->is_leaving;
-    rate.saved_milli = to_milli(row->saved);
+    rate.saved_milli = to_thousandths(row->saved);
     frame.rate = &rate;
     ts_count(TS_COUNTER_RATE_ASKS, 1);
     ts_peers_send(peers, address, &frame);
@@ -164,7 +167,7 @@
     rate.ask = row->ask;
     rate.is_deal = true;
     rate.tokens = row->deal.tokens;
-    rate.right_milli = to_milli(row->deal.right);
+    rate.right_milli = to_thousandths(row->deal.right);
     rate.is_sublet = row->deal.is_sublet;
     rate.is_lost = row->deal.is_lost;
     rate.has_left = row->deal.has_left;
--- a/src/peers/peers_sightings.c
+++ b/src/peers/peers_sightings.c
@@ -1,13 +1,13 @@
-/** Sightings: what one node sees of a back end is told to nodes of its region. */
+/** Sightings: health observations of backends, shared within the region. */
 #include <string.h>
 
 #include "peers_internal.h"
 
-/* What is seen of a back end is told to so many nodes of the zone. */
+/* Number of nodes of the zone that receive a sighting. */
 #define SIGHTING_FANOUT 16U
 
-/* To a few nodes of this zone, drawn at random; to all when there are few. */
-static void send_to_some(ts_peers_t *peers, TsPeer__Frame *frame)
+/* Sends to at most SIGHTING_FANOUT nodes of this zone, chosen at random. */
+static void send_to_random_nodes(ts_peers_t *peers, TsPeer__Frame *frame)
 {
     guint count = peers->zone_order->len;
     guint begin = count == 0 ? 0 : ts_gateway_random(peers->gateway) % count;
@@ -20,34 +20,34 @@
     }
 }
 
-/* To some nodes of this zone. */
 static void send_sighting(ts_peers_t *peers, TsPeer__Sighting *sighting)
 {
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
     frame.sighting = sighting;
-    send_to_some(peers, &frame);
+    send_to_random_nodes(peers, &frame);
 }
 
-/* One node of each other zone of the region, drawn at random, tells its own zone. */
+/* Sends to one random node of each other zone of the region, which relays to its own zone. */
 static void send_to_region(ts_peers_t *peers, TsPeer__Sighting *sighting)
 {
     const ts_gateway_t *gateway = peers->gateway;
     const char *region = g_hash_table_lookup(gateway->zones, gateway->settings->zone);
-    GHashTable *done = g_hash_table_new(g_str_hash, g_str_equal);
+    GHashTable *zones_sent = g_hash_table_new(g_str_hash, g_str_equal);
     size_t begin = ts_gateway_random(peers->gateway) % peers->view->count;
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
     frame.sighting = sighting;
     sighting->relay = true;
-    g_hash_table_add(done, gateway->settings->zone);
+    g_hash_table_add(zones_sent, gateway->settings->zone);
     for (size_t i = 0; i < peers->view->count && region != NULL; i++) {
         const ts_view_member_t *member = &peers->view->members[(begin + i) % peers->view->count];
-        const char *theirs = g_hash_table_lookup(gateway->zones, member->zone);
-        bool is_near = theirs != NULL && strcmp(theirs, region) == 0;
-        if (is_near && member->state == TS_MEMBER_LIVE && g_hash_table_add(done, member->zone))
+        const char *member_region = g_hash_table_lookup(gateway->zones, member->zone);
+        bool is_same_region = member_region != NULL && strcmp(member_region, region) == 0;
+        if (is_same_region && member->state == TS_MEMBER_LIVE &&
+            g_hash_table_add(zones_sent, member->zone))
             ts_peers_send(peers, member->address, &frame);
     }
     sighting->relay = false;
-    g_hash_table_unref(done);
+    g_hash_table_unref(zones_sent);
 }
 
 void ts_peers_take_sighting(ts_peers_t *peers, TsPeer__Sighting *row)
--- a/src/peers/peers_store.c
+++ b/src/peers/peers_store.c
@@ -1,26 +1,26 @@
-/** What the zone's watcher read from the configuration service, and how it goes round. */
+/** Distribution of configuration changes from the zone's watcher to the other nodes. */
 #include <string.h>
 
 #include "peers_internal.h"
 #include "tealspar/counters.h"
 
-/* What a watcher knows is older than this: each node follows the service itself. */
+/* If the last confirmation is older than this, a node follows the service itself. */
 #define CONFIRMED_MAX_US (1500 * TS_US_PER_MS)
-/* A pull that was not answered is asked again after this. */
-#define PULL_AGAIN_US (300 * TS_US_PER_MS)
+/* Time after which an unanswered pull is repeated. */
+#define PULL_TIMEOUT_US (300 * TS_US_PER_MS)
 /*
- * A newer configuration that a node of another zone speaks of is on its way from this zone's
- * watcher; it is asked for over there, a whole document over a dear link, only if it has not come
- * by then.
+ * A newer version announced by a node of another zone usually arrives from this zone's watcher. It
+ * is pulled from the other zone, as a whole document over an expensive link, only if it has not
+ * arrived after this time.
  */
-#define HEARD_WAITS_US (500 * TS_US_PER_MS)
-/* While nothing is known, somebody is asked this often, once the service had time to answer. */
-#define ASK_AROUND_US (500 * TS_US_PER_MS)
-#define ASK_FIRST_US (400 * TS_US_PER_MS)
-/* Before all that the service has. */
-static const ts_store_position_t nothing = {0, 0};
-/* A beacon is passed on only if it confirms what was last passed on this much later. */
-#define BEACON_NEWER_US (100 * TS_US_PER_MS)
+#define ANNOUNCED_DELAY_US (500 * TS_US_PER_MS)
+/* Interval of pulls from random peers, and the time the service first has to respond. */
+#define RANDOM_PULL_INTERVAL_US (500 * TS_US_PER_MS)
+#define RANDOM_PULL_AFTER_US (400 * TS_US_PER_MS)
+/* Precedes every position of the service. */
+static const ts_store_position_t position_zero = {0, 0};
+/* Minimum advance of the confirmation time for forwarding a beacon without new changes. */
+#define BEACON_MIN_ADVANCE_US (100 * TS_US_PER_MS)
 
 static uint32_t age_ms(const ts_peers_t *peers)
 {
@@ -54,8 +54,8 @@
     ts_peers_send(peers, address, &frame);
 }
 
-/* Asks again at once when more was announced while the changes that came were on their way. */
-static void pull_rest(ts_peers_t *peers)
+/* Pulls again immediately if newer changes were announced while the last ones were in transit. */
+static void pull_remaining(ts_peers_t *peers)
 {
     ts_store_position_t own = ts_store_mirror_position(peers->mirror);
     bool is_behind = ts_store_position_compare(peers->announced, own) > 0;
@@ -108,8 +108,8 @@
     g_ptr_array_unref(list);
 }
 
-/* When something of that age was confirmed, on this node's clock. */
-static ts_time_us_t confirmed_at(uint32_t age)
+/* Converts the age of a confirmation to a time on this node's clock. */
+static ts_time_us_t confirmation_time(uint32_t age)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     ts_time_us_t age_us = (ts_time_us_t)age * TS_US_PER_MS;
@@ -121,7 +121,7 @@
 static void pull_from(ts_peers_t *peers, const char *address, ts_store_position_t after)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    if (now_us - peers->pulled_us > PULL_AGAIN_US) {
+    if (now_us - peers->pulled_us > PULL_TIMEOUT_US) {
         peers->pulled_us = now_us;
         send_pull(peers, address, after);
     }
@@ -130,17 +130,17 @@
 bool ts_peers_is_in_need(const ts_peers_t *peers)
 {
     return ts_store_mirror_is_empty(peers->mirror) &&
-           ts_clock_now_us() - peers->gateway->opened_us > ASK_FIRST_US;
+           ts_clock_now_us() - peers->gateway->opened_us > RANDOM_PULL_AFTER_US;
 }
 
-/* Passes on what is known now to this node's children, if it is news since the last time. */
-static void pass_on(ts_peers_t *peers)
+/* Sends a beacon to this node's children if there is something new since the last one. */
+static void forward_beacon(ts_peers_t *peers)
 {
     ts_time_us_t confirmed_us = ts_store_mirror_confirmed_us(peers->mirror);
     ts_store_position_t position = ts_store_mirror_position(peers->mirror);
-    bool is_news = ts_store_position_compare(position, peers->passed_on) > 0 ||
-                   confirmed_us > peers->passed_on_us + BEACON_NEWER_US;
-    if (is_news && !ts_peers_is_watcher(peers)) {
+    bool is_new = ts_store_position_compare(position, peers->passed_on) > 0 ||
+                  confirmed_us > peers->passed_on_us + BEACON_MIN_ADVANCE_US;
+    if (is_new && !ts_peers_is_watcher(peers)) {
         ts_peers_send_beacon(peers);
     }
 }
@@ -148,18 +148,18 @@
 void ts_peers_take_beacon(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     ts_store_position_t own = ts_store_mirror_position(peers->mirror);
-    ts_store_position_t told = {frame->beacon->epoch, frame->beacon->revision};
-    int order = ts_store_position_compare(told, own);
+    ts_store_position_t announced_position = {frame->beacon->epoch, frame->beacon->revision};
+    int order = ts_store_position_compare(announced_position, own);
     if (!ts_store_mirror_is_primed(peers->mirror)) {
         if (ts_peers_is_in_need(peers)) {
-            pull_from(peers, frame->address, nothing);
+            pull_from(peers, frame->address, position_zero);
         }
     } else if (order > 0) {
-        note_announced(peers, frame->address, told);
+        note_announced(peers, frame->address, announced_position);
         pull_from(peers, frame->address, own);
     } else if (order == 0) {
-        ts_store_mirror_confirm(peers->mirror, confirmed_at(frame->beacon->age_ms));
-        pass_on(peers);
+        ts_store_mirror_confirm(peers->mirror, confirmation_time(frame->beacon->age_ms));
+        forward_beacon(peers);
     }
 }
 
@@ -194,7 +194,7 @@
     ts_store_position_t before = ts_store_mirror_position(peers->mirror);
     ts_store_list_t list = {.position = {changes->epoch, changes->revision},
                             .base = changes->epoch_base,
-                            .as_of_us = confirmed_at(changes->age_ms),
+                            .as_of_us = confirmation_time(changes->age_ms),
                             .source = "peer"};
     if (!changes->is_whole && !ts_store_mirror_is_primed(peers->mirror)) {
         return;
@@ -210,13 +210,12 @@
     ts_count(TS_COUNTER_CONFIG_FROM_PEER, 1);
     peers->pulled_us = 0;
     if (ts_store_position_compare(list.position, before) > 0)
-        pull_rest(peers);
-    pass_on(peers);
+        pull_remaining(peers);
+    forward_beacon(peers);
     g_ptr_array_unref(entries);
 }
 
-/* Whether a newer version has been heard of for so long that the zone's watcher must have missed
- * it. */
+/* Whether a version was announced so long ago that the zone's watcher must have missed it. */
 static bool is_overdue(ts_peers_t *peers, uint64_t version)
 {
     ts_time_us_t now_us = ts_clock_now_us();
@@ -224,7 +223,7 @@
         peers->heard_version = version;
         peers->heard_us = now_us;
     }
-    return now_us - peers->heard_us > HEARD_WAITS_US;
+    return now_us - peers->heard_us > ANNOUNCED_DELAY_US;
 }
 
 void ts_peers_hear_config(void *context, const char *name, const char *address, uint64_t version,
@@ -237,10 +236,11 @@
         return;
     bool is_near = ts_peers_distance(peers, address) == TS_DISTANCE_ZONE;
     if (!is_primed || is_near || is_overdue(peers, version))
-        pull_from(peers, address, is_primed ? ts_store_mirror_position(peers->mirror) : nothing);
+        pull_from(peers, address,
+                  is_primed ? ts_store_mirror_position(peers->mirror) : position_zero);
 }
 
-/* -- Time -------------------------------------------------------------------------------------- */
+/* -- Following the service -------------------------------------------------------------------- */
 
 bool ts_peers_is_relied_on(const ts_peers_t *peers)
 {
@@ -270,8 +270,8 @@
     }
 }
 
-/* Somebody else, drawn at random: of this zone and of all zones in turn. */
-static const ts_view_member_t *choose_to_ask(ts_peers_t *peers)
+/* A random node other than this one, alternately of this zone and of any zone. */
+static const ts_view_member_t *choose_pull_target(ts_peers_t *peers)
 {
     bool in_zone = peers->asked_times++ % 2 == 0 && peers->zone_order->len > 1;
     size_t count = in_zone ? peers->zone_order->len : peers->view->count;
@@ -290,14 +290,14 @@
 void ts_peers_ask_around(ts_peers_t *peers)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    if (now_us - peers->asked_us < ASK_AROUND_US) {
+    if (now_us - peers->asked_us < RANDOM_PULL_INTERVAL_US) {
         return;
     }
-    const ts_view_member_t *member = choose_to_ask(peers);
+    const ts_view_member_t *member = choose_pull_target(peers);
     if (member != NULL) {
         peers->asked_us = now_us;
         bool is_primed = ts_store_mirror_is_primed(peers->mirror);
         send_pull(peers, member->address,
-                  is_primed ? ts_store_mirror_position(peers->mirror) : nothing);
+                  is_primed ? ts_store_mirror_position(peers->mirror) : position_zero);
     }
 }
--- a/src/registry/instance_fate.c
+++ b/src/registry/instance_fate.c
@@ -1,12 +1,12 @@
-/** Whether an instance still lives after a send to it was broken off. */
+/** Liveness of an instance after the connection of a send to it broke. */
 #include <inttypes.h>
 
 #include "tealspar/counters.h"
 #include "tealspar/log.h"
 #include "tealspar/registry.h"
 
-/* One that takes no connection and refuses none for so long has ended, as far as callers go. */
-#define FATE_SILENT_US TS_US_PER_S
+/* An instance that neither accepts nor refuses connections for this long counts as ended. */
+#define LIVENESS_TIMEOUT_US TS_US_PER_S
 
 void ts_instance_note_reached(ts_instance_t *instance, ts_time_us_t begun_us)
 {
@@ -30,5 +30,5 @@
         return TS_FATE_ENDED;
     if (instance->reached_us != 0 && instance->reached_us >= since_us)
         return TS_FATE_LIVES;
-    return now_us - since_us > FATE_SILENT_US ? TS_FATE_ENDED : TS_FATE_UNKNOWN;
+    return now_us - since_us > LIVENESS_TIMEOUT_US ? TS_FATE_ENDED : TS_FATE_UNKNOWN;
 }
--- a/src/registry/instance_health.c
+++ b/src/registry/instance_health.c
@@ -1,4 +1,4 @@
-/** What a node learns of an instance from the requests it sends there. */
+/** Health and load of an instance, as learned from this node's requests to it. */
 #include <math.h>
 
 #include "tealspar/counters.h"
@@ -6,60 +6,64 @@
 #include "tealspar/mechanism.h"
 #include "tealspar/registry.h"
 
-/* A node that sends an instance more requests a second than this tells nobody of it. */
-#define TELL_RATE_MAX 40.0
+/* A node that sends an instance more requests/s than this does not report its suspicions. */
+#define REPORT_RATE_MAX 40.0
 #define RATE_HALF_LIFE_US ((double)TS_US_PER_S)
-#define RATE_STEP 0.693 /* ln 2 a half-life: a steady rate settles at itself */
-/* What a peer says weighs less than an answer that this node had just now. */
-#define HEARD_AFTER_US (15 * TS_US_PER_MS)
+#define RATE_STEP 0.693 /* ln 2 per half-life: the average converges to a constant rate */
+/* A peer's suspicion is ignored if this node got an answer less than this ago. */
+#define ANSWER_VALID_US (15 * TS_US_PER_MS)
 /*
- * The limit of requests in flight falls when answers take this much longer than usual, or when the
- * instance refuses work, and rises while answers come in time and the limit is used.
+ * The limit of requests in flight is lowered when the ratio of an answer's time to the typical one
+ * exceeds OVERLOADED_RATIO or the instance refuses work, and raised while the ratio is below
+ * RELAXED_RATIO and the limit is reached.
  */
 #define OVERLOADED_RATIO 2.5
 #define RELAXED_RATIO 1.8
-#define LIMIT_FALL 0.85
-#define LIMIT_FALL_REFUSED 0.7
-#define LIMIT_RISE 0.25
-#define LIMIT_LEAST 1.0
-#define LIMIT_MOST 1000.0
-/* Answers to requests that were sent before the limit fell say nothing about the new one. */
-#define LIMIT_SETTLES_RATIO 2.0
-/* Answers of an instance whose queue is full take this many times as long as usual, and more. */
-#define FULL_RATIO 1.5
-/* For so long an answer in usual time shows that an instance is not full. */
-#define USUAL_VALID_US (1000 * TS_US_PER_MS)
+#define LIMIT_DECREASE 0.85
+#define LIMIT_DECREASE_REFUSED 0.7
+#define LIMIT_INCREASE 0.25
+#define LIMIT_MIN 1.0
+#define LIMIT_MAX 1000.0
+/* Answers to requests sent before the limit was lowered say nothing about the new limit; it is not
+ * lowered again for this many typical answer times. */
+#define LIMIT_SETTLE_RATIO 2.0
+/* An instance with a full queue takes at least this many times the typical answer time. */
+#define QUEUE_FULL_RATIO 1.5
+/* How long an answer in normal time is taken as a sign that the instance's queue is not full. */
+#define NORMAL_ANSWER_VALID_US (1000 * TS_US_PER_MS)
+/* Pauses without requests to an instance: after failures, doubling up to the maximum, and after a
+ * refusal. */
 #define AVOID_FIRST_US (300 * TS_US_PER_MS)
 #define AVOID_MAX_US (2 * TS_US_PER_S)
 #define AVOID_REFUSED_US (60 * TS_US_PER_MS)
-/* What lies in an outbox for longer without a sign is forgotten. */
-#define OUTBOX_KEEPS_US TS_US_PER_S
-/* A reset after less rest than this says nothing about how long connections are remembered. */
-#define FORGOTTEN_REST_LEAST_US (100 * TS_US_PER_MS)
-#define FORGOTTEN_REST_SHARE 0.7
-#define FORGOTTEN_BELIEVED_US (10 * TS_US_PER_S)
+/* Counts without an anomalous answer are discarded from the outbox after this time. */
+#define OUTBOX_RETENTION_US TS_US_PER_S
+/* A reset after a shorter idle time than this is not attributed to an idle timeout. */
+#define IDLE_RESET_MIN_US (100 * TS_US_PER_MS)
+#define IDLE_RESET_SAFETY_FACTOR 0.7
+#define IDLE_MAX_VALID_US (10 * TS_US_PER_S)
 
 static void lower_limit(ts_instance_t *instance, double factor, ts_time_us_t now_us)
 {
     if (!ts_mechanism_is_on(TS_MECHANISM_LIMITS))
         return;
     double present = instance->limit > 0 ? instance->limit : instance->in_flight;
-    instance->limit = MAX(present * factor, LIMIT_LEAST);
+    instance->limit = MAX(present * factor, LIMIT_MIN);
     instance->limited_us = now_us;
 }
 
 static void adapt_limit(ts_instance_t *instance, ts_time_us_t now_us, double span_us,
                         double typical_us)
 {
-    double settled_us = LIMIT_SETTLES_RATIO * typical_us;
+    double settled_us = LIMIT_SETTLE_RATIO * typical_us;
     bool is_settled = (double)(now_us - instance->limited_us) > settled_us;
     if (span_us > OVERLOADED_RATIO * typical_us) {
         if (is_settled && instance->in_flight > 1) {
-            lower_limit(instance, LIMIT_FALL, now_us);
+            lower_limit(instance, LIMIT_DECREASE, now_us);
         }
     } else if (span_us < RELAXED_RATIO * typical_us && instance->limit > 0 &&
                instance->in_flight + 1 >= instance->limit) {
-        instance->limit = MIN(instance->limit + LIMIT_RISE, LIMIT_MOST);
+        instance->limit = MIN(instance->limit + LIMIT_INCREASE, LIMIT_MAX);
     }
 }
 
@@ -69,7 +73,7 @@
                                ts_time_us_t now_us)
 {
     bool is_stale =
-        !instance->outbox.has_sign && now_us - instance->outbox_since_us > OUTBOX_KEEPS_US;
+        !instance->outbox.has_sign && now_us - instance->outbox_since_us > OUTBOX_RETENTION_US;
     if (is_stale || ts_evidence_count_is_empty(&instance->outbox)) {
         instance->outbox = (ts_evidence_count_t){0};
         instance->outbox_since_us = now_us;
@@ -91,7 +95,7 @@
         ts_instance_add_to_outbox(instance, count, now_us);
 }
 
-static void note_time(ts_instance_t *instance, double ratio, ts_time_us_t now_us)
+static void add_latency(ts_instance_t *instance, double ratio, ts_time_us_t now_us)
 {
     ts_evidence_count_t count = {0};
     ts_evidence_count_time(&count, ratio);
@@ -100,10 +104,10 @@
 
 /* -- Requests and their answers ---------------------------------------------------------------- */
 
-/* Nodes that ask an instance often learn of it sooner by themselves than from others. */
-static bool is_worth_telling(const ts_instance_t *instance)
+/* Nodes that send to an instance often detect its failure themselves before a report arrives. */
+static bool should_report(const ts_instance_t *instance)
 {
-    return instance->sent_rate < TELL_RATE_MAX;
+    return instance->sent_rate < REPORT_RATE_MAX;
 }
 
 void ts_instance_note_sent(ts_instance_t *instance, ts_time_us_t now_us)
@@ -115,12 +119,12 @@
         ts_cold_window_note(&instance->cold, now_us);
 }
 
-static void tell_suspected(const ts_instance_t *instance, bool is_suspected)
+static void report_suspicion(const ts_instance_t *instance, bool is_suspected)
 {
     if (!ts_mechanism_is_on(TS_MECHANISM_SIGHTINGS))
         return;
     ts_sighting_t sighting = is_suspected ? TS_SIGHTING_SUSPECTED : TS_SIGHTING_ANSWERS;
-    if (is_worth_telling(instance))
+    if (should_report(instance))
         ts_registry_tell(instance, sighting);
 }
 
@@ -135,12 +139,12 @@
                (unsigned long)((now_us - instance->suspected_us) / TS_US_PER_MS));
         instance->suspected_us = 0;
         if (instance->is_suspicion_told)
-            tell_suspected(instance, false);
+            report_suspicion(instance, false);
         instance->is_suspicion_told = false;
     }
     if (typical_us > 0) {
-        note_time(instance, span_us / typical_us, now_us);
-        if (span_us < FULL_RATIO * typical_us)
+        add_latency(instance, span_us / typical_us, now_us);
+        if (span_us < QUEUE_FULL_RATIO * typical_us)
             instance->usual_us = now_us;
         adapt_limit(instance, now_us, span_us, typical_us);
     }
@@ -150,8 +154,8 @@
                                  double typical_us)
 {
     if (typical_us <= 0 || !ts_evidence_is_late(span_us / typical_us))
-        return false; // it may still come in time
-    note_time(instance, span_us / typical_us, now_us);
+        return false; // it may still arrive in time
+    add_latency(instance, span_us / typical_us, now_us);
     return true;
 }
 
@@ -176,14 +180,14 @@
     if (!is_own || instance->is_suspicion_told)
         return;
     instance->is_suspicion_told = true;
-    tell_suspected(instance, true);
+    report_suspicion(instance, true);
 }
 
-static void hear_suspected(ts_instance_t *instance, ts_time_us_t now_us)
+static void apply_peer_suspicion(ts_instance_t *instance, ts_time_us_t now_us)
 {
-    bool answered_lately =
-        instance->answered_us != 0 && now_us - instance->answered_us < HEARD_AFTER_US;
-    if (instance->suspected_us != 0 || answered_lately)
+    bool has_answered_recently =
+        instance->answered_us != 0 && now_us - instance->answered_us < ANSWER_VALID_US;
+    if (instance->suspected_us != 0 || has_answered_recently)
         return;
     instance->suspected_us = now_us;
     instance->is_suspected_by_peer = true;
@@ -194,7 +198,7 @@
 {
     switch (sighting) {
     case TS_SIGHTING_SUSPECTED:
-        hear_suspected(instance, now_us);
+        apply_peer_suspicion(instance, now_us);
         break;
     case TS_SIGHTING_ANSWERS:
         if (instance->is_suspected_by_peer)
@@ -219,40 +223,40 @@
 }
 
 /*
- * Whether the instance refuses although it is not full: it tells so, or it answered as fast as
- * usual a moment ago, which a full one does not.
+ * Whether the instance refuses although its queue is not full: it reports free slots, or it has
+ * recently answered in normal time, which it does not do with a full queue.
  */
-static bool is_refusing_idle(const ts_instance_t *instance, ts_time_us_t now_us)
+static bool is_refusing_with_capacity(const ts_instance_t *instance, ts_time_us_t now_us)
 {
     if (instance->told.told_us != 0)
         return ts_told_load_is_idle(&instance->told);
-    return instance->usual_us != 0 && now_us - instance->usual_us < USUAL_VALID_US;
+    return instance->usual_us != 0 && now_us - instance->usual_us < NORMAL_ANSWER_VALID_US;
 }
 
 void ts_instance_note_refusal(ts_instance_t *instance, ts_time_us_t now_us)
 {
     instance->answered_us = now_us;
     instance->avoid_until_us = now_us + AVOID_REFUSED_US;
-    /* A refused request is sent once more from the budget, as a failed one is. */
-    if (is_refusing_idle(instance, now_us))
+    /* A refusal consumes retry budget like a failure, so it counts as one here. */
+    if (is_refusing_with_capacity(instance, now_us))
         ts_instance_note_verdict(instance, true, now_us);
     if (!ts_told_load_is_idle(&instance->told))
-        lower_limit(instance, LIMIT_FALL_REFUSED, now_us);
+        lower_limit(instance, LIMIT_DECREASE_REFUSED, now_us);
 }
 
-void ts_instance_note_forgotten(ts_instance_t *instance, ts_time_us_t rest_us, ts_time_us_t now_us)
+void ts_instance_note_forgotten(ts_instance_t *instance, ts_time_us_t idle_us, ts_time_us_t now_us)
 {
-    if (rest_us < FORGOTTEN_REST_LEAST_US || !ts_mechanism_is_on(TS_MECHANISM_FORGOTTEN))
+    if (idle_us < IDLE_RESET_MIN_US || !ts_mechanism_is_on(TS_MECHANISM_FORGOTTEN))
         return;
-    ts_time_us_t most_us = (ts_time_us_t)(FORGOTTEN_REST_SHARE * (double)rest_us);
+    ts_time_us_t idle_max_us = (ts_time_us_t)(IDLE_RESET_SAFETY_FACTOR * (double)idle_us);
     bool is_new = now_us >= instance->rest_max_until_us;
-    if (is_new || most_us < instance->rest_max_us)
-        instance->rest_max_us = most_us;
-    instance->rest_max_until_us = now_us + FORGOTTEN_BELIEVED_US;
+    if (is_new || idle_max_us < instance->rest_max_us)
+        instance->rest_max_us = idle_max_us;
+    instance->rest_max_until_us = now_us + IDLE_MAX_VALID_US;
     if (is_new)
         ts_log(TS_EVENT_BACKEND_STATE, "instance=%s service=%s zone=%s state=forgets rest_ms=%lu",
                instance->id, instance->service->name, instance->zone,
-               (unsigned long)(rest_us / TS_US_PER_MS));
+               (unsigned long)(idle_us / TS_US_PER_MS));
 }
 
 ts_time_us_t ts_instance_rest_max_us(const ts_instance_t *instance, ts_time_us_t now_us)
@@ -263,5 +267,5 @@
 void ts_instance_note_turned_away(ts_instance_t *instance, ts_time_us_t now_us)
 {
     instance->avoid_until_us = now_us + AVOID_REFUSED_US;
-    lower_limit(instance, LIMIT_FALL_REFUSED, now_us);
+    lower_limit(instance, LIMIT_DECREASE_REFUSED, now_us);
 }
--- a/src/registry/registry.c
+++ b/src/registry/registry.c
@@ -1,4 +1,4 @@
-/** The registry of back ends. */
+/** The registry of backends. */
 #include "tealspar/registry.h"
 
 #include <inttypes.h>
@@ -9,21 +9,21 @@
 #include "tealspar/log.h"
 #include "tealspar/mechanism.h"
 
-/* One that has left is forgotten after this, when it has no connections. */
-#define FORGET_US (10 * TS_US_PER_S)
-/* Bytes of an id, which goes into a header field of each request. */
-#define ID_MAX 256U
+/* Time after which a delisted instance without references is freed. */
+#define RETENTION_US (10 * TS_US_PER_S)
+/* Maximum length of an id, which is sent in a header field of each request. */
+#define ID_LENGTH_MAX 256U
 
 struct ts_registry {
     char *zone;
     GHashTable *zones;
     GHashTable *services;  /**< name -> ts_service_t, owned */
-    GHashTable *instances; /**< id -> ts_instance_t of its present life, owned */
-    GPtrArray *former;     /**< of ts_instance_t, owned: lives that were followed by another */
-    GHashTable *travels;   /**< zone -> ts_travel_t, owned */
-    GHashTable *evacuated; /**< set of zones whose back ends are to get nothing */
-    double travel_least_us;
-    double travel_most_us;
+    GHashTable *instances; /**< id -> ts_instance_t of the current incarnation, owned */
+    GPtrArray *retired;    /**< of ts_instance_t, owned: replaced by a later incarnation */
+    GHashTable *rtts;      /**< zone -> ts_travel_t, owned */
+    GHashTable *evacuated; /**< set of zones that are being evacuated */
+    double rtt_min_us;
+    double rtt_max_us;
     ts_registry_seen_t seen;
     void *seen_ctx;
     ts_registry_evidence_t wake;
@@ -69,9 +69,9 @@
     registry->zones = zones;
     registry->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_service);
     registry->instances = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_instance);
-    registry->former = g_ptr_array_new_with_free_func(free_instance);
+    registry->retired = g_ptr_array_new_with_free_func(free_instance);
     registry->evacuated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    registry->travels = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    registry->rtts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return registry;
 }
 
@@ -79,8 +79,8 @@
 {
     g_hash_table_destroy(registry->services);
     g_hash_table_destroy(registry->instances);
-    g_ptr_array_unref(registry->former);
-    g_hash_table_destroy(registry->travels);
+    g_ptr_array_unref(registry->retired);
+    g_hash_table_destroy(registry->rtts);
     g_hash_table_destroy(registry->evacuated);
     g_free(registry->zone);
     g_free(registry);
@@ -104,44 +104,45 @@
     return service;
 }
 
-static ts_distance_t measure_distance(const ts_registry_t *registry, const char *zone)
+static ts_distance_t find_distance(const ts_registry_t *registry, const char *zone)
 {
     if (strcmp(zone, registry->zone) == 0) {
         return TS_DISTANCE_ZONE;
     }
-    /* Looked up each time: a reload of the settings replaces the texts in the table. */
+    /* Looked up each time, as a reload of the settings replaces the strings in the table. */
     const char *own = find_region(registry, registry->zone);
     const char *region = find_region(registry, zone);
     bool is_near = region != NULL && own != NULL && strcmp(region, own) == 0;
     return is_near ? TS_DISTANCE_REGION : TS_DISTANCE_FAR;
 }
 
-/* -- Travel ------------------------------------------------------------------------------------ */
+/* -- Round-trip times -------------------------------------------------------------------------- */
 
-static void find_travel_bounds(ts_registry_t *registry)
+static void update_rtt_bounds(ts_registry_t *registry)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    registry->travel_least_us = G_MAXDOUBLE;
-    registry->travel_most_us = 0;
-    g_hash_table_iter_init(&iterator, registry->travels);
+    registry->rtt_min_us = G_MAXDOUBLE;
+    registry->rtt_max_us = 0;
+    g_hash_table_iter_init(&iterator, registry->rtts);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        double travel_us = ts_travel_us(value);
-        registry->travel_least_us = MIN(registry->travel_least_us, travel_us);
-        registry->travel_most_us = MAX(registry->travel_most_us, travel_us);
+        double rtt_us = ts_travel_us(value);
+        registry->rtt_min_us = MIN(registry->rtt_min_us, rtt_us);
+        registry->rtt_max_us = MAX(registry->rtt_max_us, rtt_us);
     }
 }
 
-static ts_travel_t *find_travel(ts_registry_t *registry, const char *zone, ts_distance_t distance)
+static ts_travel_t *find_or_add_rtt(ts_registry_t *registry, const char *zone,
+                                    ts_distance_t distance)
 {
-    ts_travel_t *travel = g_hash_table_lookup(registry->travels, zone);
-    if (travel == NULL) {
-        travel = g_new0(ts_travel_t, 1);
-        ts_travel_init(travel, distance);
-        g_hash_table_insert(registry->travels, g_strdup(zone), travel);
-        find_travel_bounds(registry);
+    ts_travel_t *rtt = g_hash_table_lookup(registry->rtts, zone);
+    if (rtt == NULL) {
+        rtt = g_new0(ts_travel_t, 1);
+        ts_travel_init(rtt, distance);
+        g_hash_table_insert(registry->rtts, g_strdup(zone), rtt);
+        update_rtt_bounds(registry);
     }
-    return travel;
+    return rtt;
 }
 
 void ts_registry_note_travel(ts_registry_t *registry, const ts_instance_t *instance,
@@ -150,26 +151,26 @@
     if (!ts_mechanism_is_on(TS_MECHANISM_TRAVEL))
         return;
     ts_travel_note(instance->travel, span_us);
-    find_travel_bounds(registry);
+    update_rtt_bounds(registry);
 }
 
 double ts_registry_travel_least_us(const ts_registry_t *registry)
 {
-    return registry->travel_least_us;
+    return registry->rtt_min_us;
 }
 
 double ts_registry_travel_most_us(const ts_registry_t *registry)
 {
-    return registry->travel_most_us;
+    return registry->rtt_max_us;
 }
 
 /* -- Instances --------------------------------------------------------------------------------- */
 
-static void locate(const ts_registry_t *registry, ts_instance_t *instance)
+static void update_location(const ts_registry_t *registry, ts_instance_t *instance)
 {
     const char *region = find_region(registry, instance->zone);
     instance->region = region == NULL ? NULL : g_intern_string(region);
-    instance->distance = measure_distance(registry, instance->zone);
+    instance->distance = find_distance(registry, instance->zone);
 }
 
 static ts_instance_t *add_instance(ts_registry_t *registry, const ts_instance_record_t *record)
@@ -178,9 +179,9 @@
     instance->id = g_strdup(record->id);
     instance->born_ms = record->born_ms;
     instance->zone = g_strdup(record->zone);
-    locate(registry, instance);
+    update_location(registry, instance);
     instance->is_evacuated = ts_registry_is_evacuated(registry, record->zone);
-    instance->travel = find_travel(registry, record->zone, instance->distance);
+    instance->travel = find_or_add_rtt(registry, record->zone, instance->distance);
     g_queue_init(&instance->idle);
     instance->service = ts_registry_service(registry, record->service);
     g_ptr_array_add(instance->service->instances, instance);
@@ -204,7 +205,7 @@
     log_state(instance, is_draining ? "draining" : "ready");
 }
 
-static void unlist(ts_instance_t *instance, ts_time_us_t now_us)
+static void delist(ts_instance_t *instance, ts_time_us_t now_us)
 {
     if (!instance->is_listed) {
         return;
@@ -216,43 +217,44 @@
     log_state(instance, "gone");
 }
 
-static bool is_header_text(const char *text)
+static bool is_valid_header_value(const char *text)
 {
     size_t length = strlen(text);
     for (size_t i = 0; i < length; i++)
         if (!g_ascii_isgraph(text[i]))
             return false;
-    return length > 0 && length <= ID_MAX;
+    return length > 0 && length <= ID_LENGTH_MAX;
 }
 
 ts_error_t ts_registry_check(const ts_instance_record_t *record)
 {
     struct sockaddr_storage address;
-    if (!is_header_text(record->id) || record->service[0] == '\0' || record->zone[0] == '\0')
+    if (!is_valid_header_value(record->id) || record->service[0] == '\0' || record->zone[0] == '\0')
         return TS_E_INVALID;
     return ts_address_parse(record->address, &address);
 }
 
 /*
- * The next life of a searcher begins: nothing is sent to the one before any more, and what was
- * under way there is judged by it. It is no candidate from now on, unlike one that only left the
- * list.
+ * Retires an instance that is replaced by a later incarnation: it counts as ended, which decides
+ * the outcome of its requests in progress, and is no longer a candidate for new ones, unlike an
+ * instance that was only delisted.
  */
-static void end_life(ts_registry_t *registry, ts_instance_t *instance, ts_time_us_t now_us)
+static void retire_instance(ts_registry_t *registry, ts_instance_t *instance, ts_time_us_t now_us)
 {
-    unlist(instance, now_us);
+    delist(instance, now_us);
     ts_instance_note_ended(instance);
     g_ptr_array_remove_fast(instance->service->instances, instance);
     g_hash_table_steal(registry->instances, instance->id);
-    g_ptr_array_add(registry->former, instance);
+    g_ptr_array_add(registry->retired, instance);
     ts_count(TS_COUNTER_INSTANCES_REBORN, 1);
 }
 
-/* One that tells no birth has begun another life if it is listed again after it had ended. */
-static bool is_same_life(const ts_instance_t *instance, const ts_instance_record_t *record)
+/* Without a reported start time, an instance that ended, was delisted and is listed again counts as
+ * a new incarnation. */
+static bool is_same_incarnation(const ts_instance_t *instance, const ts_instance_record_t *record)
 {
-    bool is_back = !instance->is_listed && instance->has_ended && record->born_ms == 0;
-    return instance->born_ms == record->born_ms && !is_back;
+    bool is_relisted = !instance->is_listed && instance->has_ended && record->born_ms == 0;
+    return instance->born_ms == record->born_ms && !is_relisted;
 }
 
 bool ts_registry_update(ts_registry_t *registry, const ts_instance_record_t *record,
@@ -264,8 +266,8 @@
         return false;
     }
     ts_instance_t *instance = g_hash_table_lookup(registry->instances, record->id);
-    if (instance != NULL && !is_same_life(instance, record)) {
-        end_life(registry, instance, now_us);
+    if (instance != NULL && !is_same_incarnation(instance, record)) {
+        retire_instance(registry, instance, now_us);
         instance = NULL;
     }
     bool is_new = instance == NULL;
@@ -326,7 +328,7 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, registry->instances);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
-        locate(registry, value);
+        update_location(registry, value);
 }
 
 /* -- Leaving ----------------------------------------------------------------------------------- */
@@ -335,7 +337,7 @@
 {
     ts_instance_t *instance = g_hash_table_lookup(registry->instances, id);
     if (instance != NULL) {
-        unlist(instance, now_us);
+        delist(instance, now_us);
     }
 }
 
@@ -346,16 +348,16 @@
     g_hash_table_iter_init(&iterator, registry->instances);
     while (g_hash_table_iter_next(&iterator, NULL, &instance)) {
         if (!g_hash_table_contains(ids, ((ts_instance_t *)instance)->id)) {
-            unlist(instance, now_us);
+            delist(instance, now_us);
         }
     }
 }
 
-static bool is_forgettable(const ts_instance_t *instance, ts_time_us_t now_us)
+static bool is_unreferenced(const ts_instance_t *instance, ts_time_us_t now_us)
 {
     bool is_unused =
         instance->connections == 0 && instance->in_flight == 0 && instance->references == 0;
-    return !instance->is_listed && is_unused && now_us - instance->left_us > FORGET_US;
+    return !instance->is_listed && is_unused && now_us - instance->left_us > RETENTION_US;
 }
 
 void ts_registry_sweep(ts_registry_t *registry, ts_time_us_t now_us)
@@ -365,14 +367,14 @@
     g_hash_table_iter_init(&iterator, registry->instances);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         ts_instance_t *instance = value;
-        if (!is_forgettable(instance, now_us))
+        if (!is_unreferenced(instance, now_us))
             continue;
         g_ptr_array_remove_fast(instance->service->instances, instance);
         g_hash_table_iter_remove(&iterator);
     }
-    for (guint i = registry->former->len; i > 0; i--) {
-        if (is_forgettable(g_ptr_array_index(registry->former, i - 1), now_us))
-            g_ptr_array_remove_index_fast(registry->former, i - 1);
+    for (guint i = registry->retired->len; i > 0; i--) {
+        if (is_unreferenced(g_ptr_array_index(registry->retired, i - 1), now_us))
+            g_ptr_array_remove_index_fast(registry->retired, i - 1);
     }
 }
 
@@ -425,8 +427,8 @@
     g_hash_table_iter_init(&iterator, registry->instances);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
         visit(value, context);
-    for (guint i = 0; i < registry->former->len; i++)
-        visit(g_ptr_array_index(registry->former, i), context);
+    for (guint i = 0; i < registry->retired->len; i++)
+        visit(g_ptr_array_index(registry->retired, i), context);
 }
 
 void ts_registry_each_service(ts_registry_t *registry, GHFunc visit, void *context)
--- a/tests/peers/test_contact.c
+++ b/tests/peers/test_contact.c
@@ -1,4 +1,4 @@
-/** Whether a node knows, within seconds, that it is out of contact with most of the fleet. */
+/** Detection, within seconds, that a node has lost contact with the majority of the fleet. */
 #include "../test_support.h"
 
 #include "tealspar/contact.h"
@@ -7,12 +7,12 @@
 #define ZONES 4
 #define NODES 12
 
-static char *address_of(unsigned i)
+static char *make_address(unsigned i)
 {
     return g_strdup_printf("10.0.0.%u:1", i);
 }
 
-/* Twelve nodes in four zones by turns; the first one is this node. */
+/* NODES nodes, assigned to ZONES zones in turn; the first one is this node. */
 static ts_contact_t *open_contact(void)
 {
     ts_contact_t *contact = ts_contact_create(7);
@@ -22,7 +22,7 @@
         char zone[8];
         g_snprintf(name, sizeof(name), "n%02u", i);
         g_snprintf(zone, sizeof(zone), "z%u", i % ZONES);
-        char *address = address_of(i);
+        char *address = make_address(i);
         ts_view_add(view, name, address, zone, 1, TS_MEMBER_LIVE, i == 0);
         g_free(address);
     }
@@ -34,17 +34,18 @@
 static void hear_zones(ts_contact_t *contact, unsigned zones, ts_time_us_t now_us)
 {
     for (unsigned i = 0; i < zones; i++) {
-        char *address = address_of(ZONES + i);
+        char *address = make_address(ZONES + i);
         ts_contact_note(contact, address, now_us);
         g_free(address);
     }
 }
 
-static void test_majority_is_of_members_in_heard_zones(void **state)
+static void test_majority_counts_members_of_heard_zones(void **state)
 {
     ts_contact_t *contact = open_contact();
     assert_false(ts_contact_has_majority(contact, START_US));
-    hear_zones(contact, 2, START_US); // two of its own zone and three more: six with itself
+    hear_zones(contact, 2, START_US); // two others of its own zone and three of another one: six
+                                      // including itself, no majority
     assert_false(ts_contact_has_majority(contact, START_US));
     hear_zones(contact, 3, START_US);
     assert_true(ts_contact_has_majority(contact, START_US));
@@ -53,7 +54,7 @@
     ts_contact_free(contact);
 }
 
-static void test_node_alone_has_contact(void **state)
+static void test_single_node_has_majority(void **state)
 {
     ts_contact_t *contact = ts_contact_create(7);
     assert_true(ts_contact_has_majority(contact, START_US));
@@ -61,26 +62,26 @@
     ts_contact_free(contact);
 }
 
-static unsigned count_calls(ts_contact_t *contact, ts_time_us_t now_us)
+static unsigned count_probes(ts_contact_t *contact, ts_time_us_t now_us)
 {
-    unsigned calls = 0;
+    unsigned probes = 0;
     while (ts_contact_next_call(contact, now_us) != NULL)
-        calls++;
-    return calls;
+        probes++;
+    return probes;
 }
 
-/* Only zones that are silent are called, one node each, and another one when it does not answer. */
-static void test_silent_zones_are_called(void **state)
+/* Only silent zones are probed, one node in each, and a different node if it does not respond. */
+static void test_silent_zones_are_probed(void **state)
 {
     ts_contact_t *contact = open_contact();
     hear_zones(contact, 3, START_US);
     char *first = g_strdup(ts_contact_next_call(contact, START_US));
-    assert_non_null(first); // the zone that was never heard
-    assert_int_equal(count_calls(contact, START_US), 0);
-    assert_int_equal(count_calls(contact, START_US + 300 * TS_US_PER_MS), 0);
+    assert_non_null(first); // in the zone that was never heard
+    assert_int_equal(count_probes(contact, START_US), 0);
+    assert_int_equal(count_probes(contact, START_US + 300 * TS_US_PER_MS), 0);
     const char *second = ts_contact_next_call(contact, START_US + 500 * TS_US_PER_MS);
     assert_string_not_equal(first, second);
-    assert_int_equal(count_calls(contact, START_US + 1000 * TS_US_PER_MS), ZONES);
+    assert_int_equal(count_probes(contact, START_US + 1000 * TS_US_PER_MS), ZONES);
     g_free(first);
     ts_contact_free(contact);
 }
@@ -88,9 +89,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_majority_is_of_members_in_heard_zones),
-        cmocka_unit_test(test_node_alone_has_contact),
-        cmocka_unit_test(test_silent_zones_are_called),
+        cmocka_unit_test(test_majority_counts_members_of_heard_zones),
+        cmocka_unit_test(test_single_node_has_majority),
+        cmocka_unit_test(test_silent_zones_are_probed),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/peers/test_peer_link.c
+++ b/tests/peers/test_peer_link.c
@@ -1,4 +1,4 @@
-/** Connections to peers: messages arrive, and closing one at any moment harms nothing. */
+/** Peer links: delivery, loss and re-establishment of connections, and closing at any moment. */
 #include "../test_support.h"
 
 #include <arpa/inet.h>
@@ -13,14 +13,14 @@
 
 static unsigned received;
 
-static void take(void *context, const uint8_t *bytes, size_t length)
+static void count_hello(void *context, const uint8_t *bytes, size_t length)
 {
     assert_int_equal(length, 5);
     assert_memory_equal(bytes, "hello", 5);
     received++;
 }
 
-static char *free_address(void)
+static char *find_free_address(void)
 {
     return g_strdup_printf("127.0.0.1:%u", lab_next_port("127.0.0.1"));
 }
@@ -44,35 +44,35 @@
 {
     uv_loop_t loop;
     uv_loop_init(&loop);
-    char *here = free_address();
-    char *there = free_address();
-    char *nowhere = free_address();
-    ts_peer_link_t *link = ts_peer_link_open(&loop, here, take, NULL);
-    ts_peer_link_t *other = ts_peer_link_open(&loop, there, take, NULL);
+    char *local = find_free_address();
+    char *remote = find_free_address();
+    char *unused = find_free_address();
+    ts_peer_link_t *link = ts_peer_link_open(&loop, local, count_hello, NULL);
+    ts_peer_link_t *other = ts_peer_link_open(&loop, remote, count_hello, NULL);
     assert_non_null(link);
     assert_non_null(other);
     for (int i = 0; i < ROUNDS; i++) {
-        ts_peer_link_send(link, there, (const uint8_t *)"hello", 5);
-        ts_peer_link_send(other, here, (const uint8_t *)"hello", 5);
-        ts_peer_link_send(link, nowhere, (const uint8_t *)"hello", 5);
+        ts_peer_link_send(link, remote, (const uint8_t *)"hello", 5);
+        ts_peer_link_send(other, local, (const uint8_t *)"hello", 5);
+        ts_peer_link_send(link, unused, (const uint8_t *)"hello", 5);
         if (i % 3 != 0) {
             run_ms(&loop, (uint64_t)(i % 7));
         }
-        ts_peer_link_reset(link, there);
-        ts_peer_link_reset(link, nowhere);
+        ts_peer_link_reset(link, remote);
+        ts_peer_link_reset(link, unused);
         if (i % 2 == 0) {
             ts_peer_link_sweep(other, ts_clock_now_us() + 3600 * TS_US_PER_S);
         }
     }
     received = 0;
-    ts_peer_link_send(link, there, (const uint8_t *)"hello", 5);
+    ts_peer_link_send(link, remote, (const uint8_t *)"hello", 5);
     for (int i = 0; i < WAIT_MS / 10 && received == 0; i++) {
         run_ms(&loop, 10);
     }
     assert_true(received >= 1);
-    g_free(here);
-    g_free(there);
-    g_free(nowhere);
+    g_free(local);
+    g_free(remote);
+    g_free(unused);
 }
 
 static unsigned losses;
@@ -83,46 +83,46 @@
     losses++;
 }
 
-/* The end of a connection is told, unless this side closed it. */
-static void test_lost_connection_is_told(void **state)
+/* The end of a connection is reported, unless this side closed it. */
+static void test_lost_connection_is_reported(void **state)
 {
     uv_loop_t loop;
     uv_loop_init(&loop);
-    char *here = free_address();
-    char *there = free_address();
-    ts_peer_link_t *link = ts_peer_link_open(&loop, here, take, there);
-    ts_peer_link_t *other = ts_peer_link_open(&loop, there, take, NULL);
+    char *local = find_free_address();
+    char *remote = find_free_address();
+    ts_peer_link_t *link = ts_peer_link_open(&loop, local, count_hello, remote);
+    ts_peer_link_t *other = ts_peer_link_open(&loop, remote, count_hello, NULL);
     assert_non_null(other);
     ts_peer_link_on_lost(link, note_lost);
     received = 0;
     losses = 0;
-    ts_peer_link_send(link, there, (const uint8_t *)"hello", 5);
+    ts_peer_link_send(link, remote, (const uint8_t *)"hello", 5);
     for (int i = 0; i < WAIT_MS / 10 && received == 0; i++)
         run_ms(&loop, 10);
-    ts_peer_link_reset(link, there);
+    ts_peer_link_reset(link, remote);
     run_ms(&loop, 50);
     assert_int_equal(losses, 0);
-    ts_peer_link_send(link, there, (const uint8_t *)"hello", 5);
+    ts_peer_link_send(link, remote, (const uint8_t *)"hello", 5);
     for (int i = 0; i < WAIT_MS / 10 && received == 1; i++)
         run_ms(&loop, 10);
     ts_peer_link_close(other);
     for (int i = 0; i < WAIT_MS / 10 && losses == 0; i++)
         run_ms(&loop, 10);
     assert_int_equal(losses, 1);
-    g_free(here);
-    g_free(there);
+    g_free(local);
+    g_free(remote);
 }
 
 // -- Bursts
 
-#define BURST 200 /* fits into what may wait for a peer by default times four */
+#define BURST 200 /* fits into BURST_BUFFER, four times the default queue of a peer */
 #define BURST_BUFFER 256
 #define ORDERED_BYTES 4
 
 static uint32_t next_expected;
 static bool is_in_order;
 
-static void take_ordered(void *context, const uint8_t *bytes, size_t length)
+static void check_order(void *context, const uint8_t *bytes, size_t length)
 {
     uint32_t number = 0;
     assert_int_equal(length, ORDERED_BYTES);
@@ -145,17 +145,18 @@
 }
 
 /*
- * What is sent at once arrives whole and in order, over a connection that stands and over one that
- * is being opened (rolling-stop: leaves and requests lost without a line; 126 of 250 arrived).
+ * A burst arrives completely and in order, both over an established connection and over one that is
+ * being opened. Guards against messages dropped without a log line: 126 of 250 arrived, and a
+ * rolling stop lost leave announcements and requests.
  */
-static void test_bursts_arrive_whole(void **state)
+static void test_bursts_arrive_completely(void **state)
 {
     static uv_loop_t loop;
     uv_loop_init(&loop);
-    char *here = free_address();
-    char *there = free_address();
-    ts_peer_link_t *link = ts_peer_link_open(&loop, here, take_ordered, NULL);
-    ts_peer_link_t *other = ts_peer_link_open(&loop, there, take_ordered, NULL);
+    char *local = find_free_address();
+    char *remote = find_free_address();
+    ts_peer_link_t *link = ts_peer_link_open(&loop, local, check_order, NULL);
+    ts_peer_link_t *other = ts_peer_link_open(&loop, remote, check_order, NULL);
     assert_non_null(link);
     assert_non_null(other);
     ts_peer_link_set_buffer(link, BURST_BUFFER);
@@ -163,18 +164,18 @@
         received = 0;
         next_expected = 0;
         is_in_order = true;
-        send_burst(link, there);
+        send_burst(link, remote);
         await_received(&loop, BURST);
         assert_int_equal(received, BURST);
         assert_true(is_in_order);
     }
-    g_free(here);
-    g_free(there);
+    g_free(local);
+    g_free(remote);
 }
 
-// -- Peers that end each connection as soon as they hear something on it
+// -- Peers that close each connection on its first message
 
-#define ENDING_PEERS 256
+#define CLOSING_PEERS 256
 #define SENDS 100000
 #define SP_HELLO_BYTES 8
 #define SP_PROTOCOL_AT 5
@@ -182,10 +183,10 @@
 #define SP_REPLY 0x31
 
 /*
- * Greets as the protocol asks (eight bytes: 0, 'S', 'P', 0, protocol, 0, 0), as whatever fits the
- * other side, and ends the connection with the first bytes of a message.
+ * Completes the SP handshake (eight bytes: 0, 'S', 'P', 0, 16-bit protocol, 0, 0) with the protocol
+ * that matches the other side, and returns on the first bytes of a message.
  */
-static void end_when_heard(int descriptor)
+static void serve_one_message(int descriptor)
 {
     uint8_t hello[SP_HELLO_BYTES];
     uint8_t bytes[16];
@@ -197,18 +198,18 @@
         (void)recv(descriptor, bytes, sizeof(bytes), 0);
 }
 
-static gpointer run_ending_peer(gpointer data)
+static gpointer run_closing_peer(gpointer data)
 {
     int listener = GPOINTER_TO_INT(data);
     int descriptor = 0;
     while ((descriptor = accept(listener, NULL, NULL)) >= 0) {
-        end_when_heard(descriptor);
+        serve_one_message(descriptor);
         close(descriptor);
     }
     return NULL;
 }
 
-static char *start_ending_peer(void)
+static char *start_closing_peer(void)
 {
     struct sockaddr_in address = {.sin_family = AF_INET};
     socklen_t length = sizeof(address);
@@ -217,38 +218,38 @@
     assert_int_equal(bind(listener, (const struct sockaddr *)&address, length), 0);
     assert_int_equal(listen(listener, SOMAXCONN), 0);
     assert_int_equal(getsockname(listener, (struct sockaddr *)&address, &length), 0);
-    g_thread_unref(g_thread_new("ending", run_ending_peer, GINT_TO_POINTER(listener)));
+    g_thread_unref(g_thread_new("ending", run_closing_peer, GINT_TO_POINTER(listener)));
     return g_strdup_printf("127.0.0.1:%u", ntohs(address.sin_port));
 }
 
-// A send never meets a connection that is ending (a gateway ended with SIGSEGV: soak seed 601).
-static void test_sends_while_peers_end_their_connections(void **state)
+// Sending while the peer closes the connection must not crash (SIGSEGV in soak seed 601).
+static void test_sends_while_peers_close_connections(void **state)
 {
     uv_loop_t loop;
     uv_loop_init(&loop);
-    char *here = free_address();
-    char *ending[ENDING_PEERS];
-    ts_peer_link_t *link = ts_peer_link_open(&loop, here, take, NULL);
+    char *local = find_free_address();
+    char *closing_peers[CLOSING_PEERS];
+    ts_peer_link_t *link = ts_peer_link_open(&loop, local, count_hello, NULL);
     assert_non_null(link);
-    for (int i = 0; i < ENDING_PEERS; i++)
-        ending[i] = start_ending_peer();
+    for (int i = 0; i < CLOSING_PEERS; i++)
+        closing_peers[i] = start_closing_peer();
     for (int i = 0; i < SENDS; i++) {
-        ts_peer_link_send(link, ending[i % ENDING_PEERS], (const uint8_t *)"hello", 5);
-        if (i % ENDING_PEERS == 0)
-            run_ms(&loop, (uint64_t)(i / ENDING_PEERS % 8));
+        ts_peer_link_send(link, closing_peers[i % CLOSING_PEERS], (const uint8_t *)"hello", 5);
+        if (i % CLOSING_PEERS == 0)
+            run_ms(&loop, (uint64_t)(i / CLOSING_PEERS % 8));
     }
-    g_free(here);
-    for (int i = 0; i < ENDING_PEERS; i++)
-        g_free(ending[i]);
+    g_free(local);
+    for (int i = 0; i < CLOSING_PEERS; i++)
+        g_free(closing_peers[i]);
 }
 
-// -- A peer that is out of reach for a while
+// -- A peer that is temporarily unreachable
 
-#define OUT_MS 7500  /* the kernel repeats an opening packet 7 and 11 (or 15) s after the first */
-#define BACK_MS 2000 /* a node that is within reach again is reached in this time */
+#define OUTAGE_MS 7500    /* the kernel retransmits a SYN 7 and 11 (or 15) s after the first one */
+#define RECONNECT_MS 2000 /* a peer must be connected within this time of being reachable again */
 
-/* Listens with room for one connection that nobody accepts: opening packets of others are dropped,
- * as in a cut. Sets the address. */
+/* Listens with an accept queue of one, filled by a connection that is never accepted, so that
+ * further SYNs are dropped as in a network partition. Sets `*address`. */
 static int listen_full(char **address)
 {
     struct sockaddr_in own = {.sin_family = AF_INET};
@@ -260,12 +261,12 @@
     assert_int_equal(getsockname(listener, (struct sockaddr *)&own, &length), 0);
     int filling = socket(AF_INET, SOCK_STREAM, 0);
     assert_int_equal(connect(filling, (const struct sockaddr *)&own, length), 0);
-    close(filling); // it keeps its place until it is accepted
+    close(filling); // still occupies the accept queue
     *address = g_strdup_printf("127.0.0.1:%u", ntohs(own.sin_port));
     return listener;
 }
 
-/* Sends a message each 100 ms, for a span or until there is a connection. */
+/* Sends a message every 100 ms until connected, for at most `span_ms`. */
 static void send_until_connected(uv_loop_t *loop, ts_peer_link_t *link, const char *address,
                                  unsigned span_ms)
 {
@@ -278,38 +279,37 @@
 }
 
 /*
- * A node that was cut off is reached soon after it is back. The dial that was begun during the cut
- * goes on by the kernel's clock, whose gaps double: after a cut of nine seconds the next opening
- * packet left 6.5 s after its end, and until then peers took each other for silent. Seen as homes
- * and deputies of limits that answered nothing for 868 to 5,700 ms to nodes which had them live in
- * their view.
+ * A peer must be reached soon after a partition ends. A dial begun during the partition retransmits
+ * its SYN at intervals that double: after a partition of 9 s the next SYN was sent 6.5 s after its
+ * end, and until then the peers got no response from each other. Homes and deputies of rate
+ * limits therefore did not respond for 868 to 5,700 ms to nodes that had them live in their view.
  */
-static void test_peer_is_reached_soon_after_a_cut(void **state)
+static void test_peer_reconnects_soon_after_partition(void **state)
 {
-    static uv_loop_t loop; // nng's threads may wake it later
+    static uv_loop_t loop; // nng's threads may still wake it after the test
     uv_loop_init(&loop);
-    char *here = free_address();
-    char *there = NULL;
-    int listener = listen_full(&there);
-    ts_peer_link_t *link = ts_peer_link_open(&loop, here, take, NULL);
+    char *local = find_free_address();
+    char *remote = NULL;
+    int listener = listen_full(&remote);
+    ts_peer_link_t *link = ts_peer_link_open(&loop, local, count_hello, NULL);
     assert_non_null(link);
-    send_until_connected(&loop, link, there, OUT_MS);
-    assert_int_equal(ts_peer_link_connected_us(link, there), 0);
-    g_thread_unref(g_thread_new("back", run_ending_peer, GINT_TO_POINTER(listener)));
-    send_until_connected(&loop, link, there, BACK_MS);
-    assert_int_not_equal(ts_peer_link_connected_us(link, there), 0);
-    g_free(here);
-    g_free(there);
+    send_until_connected(&loop, link, remote, OUTAGE_MS);
+    assert_int_equal(ts_peer_link_connected_us(link, remote), 0);
+    g_thread_unref(g_thread_new("back", run_closing_peer, GINT_TO_POINTER(listener)));
+    send_until_connected(&loop, link, remote, RECONNECT_MS);
+    assert_int_not_equal(ts_peer_link_connected_us(link, remote), 0);
+    g_free(local);
+    g_free(remote);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_peer_is_reached_soon_after_a_cut),
+        cmocka_unit_test(test_peer_reconnects_soon_after_partition),
         cmocka_unit_test(test_messages_arrive_and_connections_end),
-        cmocka_unit_test(test_lost_connection_is_told),
-        cmocka_unit_test(test_bursts_arrive_whole),
-        cmocka_unit_test(test_sends_while_peers_end_their_connections),
+        cmocka_unit_test(test_lost_connection_is_reported),
+        cmocka_unit_test(test_bursts_arrive_completely),
+        cmocka_unit_test(test_sends_while_peers_close_connections),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/registry/test_lives.c
+++ b/tests/registry/test_lives.c
@@ -1,4 +1,4 @@
-/** Searchers that start again under their id: each life is an instance of its own. */
+/** Searchers that restart under the same id: each incarnation is an instance of its own. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -7,7 +7,8 @@
 
 #define NOW_US (100 * TS_US_PER_S)
 
-static ts_instance_t *enter(ts_registry_t *registry, uint64_t born_ms, const char *address)
+static ts_instance_t *update_instance(ts_registry_t *registry, uint64_t born_ms,
+                                      const char *address)
 {
     ts_instance_record_t record = {.id = g_strdup("i-1"),
                                    .born_ms = born_ms,
@@ -25,104 +26,106 @@
     return ts_registry_service(registry, "s")->instances->len;
 }
 
-/* What was learned of one life is not believed of the next. */
-static void test_next_life_is_not_known(void **state)
+/* Nothing learned about one incarnation is applied to the next. */
+static void test_next_incarnation_starts_fresh(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", NULL);
-    ts_instance_t *first = enter(registry, 1000, "10.0.0.1:80");
+    ts_instance_t *first = update_instance(registry, 1000, "10.0.0.1:80");
     first->in_flight = 1;
     first->limit = 2;
     first->suspected_us = NOW_US;
     ts_instance_note_verdict(first, true, NOW_US);
-    ts_instance_t *second = enter(registry, 2000, "10.0.0.1:80");
+    ts_instance_t *second = update_instance(registry, 2000, "10.0.0.1:80");
     assert_ptr_not_equal(first, second);
     assert_true(second->is_listed && !first->is_listed);
     assert_true(second->limit == 0 && second->suspected_us == 0 && second->in_flight == 0);
     assert_true(ts_instance_failing(second, NOW_US) < ts_instance_failing(first, NOW_US));
     assert_int_equal(ts_instance_fate(first, NOW_US, NOW_US), TS_FATE_ENDED);
     assert_int_equal(ts_instance_fate(second, NOW_US, NOW_US), TS_FATE_UNKNOWN);
-    assert_int_equal(count_candidates(registry), 1); // not even while nothing else is left
+    assert_int_equal(count_candidates(registry), 1); // never the ended one
     assert_int_equal(ts_registry_listed(registry), 1);
     ts_registry_destroy(registry);
 }
 
-/* What a peer tells of a life is taken for that life only. */
-static void test_lives_are_told_apart(void **state)
+/* A key matches only its own incarnation, so that reports from peers are not misattributed. */
+static void test_incarnations_are_distinguished(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", NULL);
     const ts_life_t first = {"i-1", 1000};
     const ts_life_t second = {"i-1", 2000};
-    ts_instance_t *instance = enter(registry, 1000, "10.0.0.1:80");
+    ts_instance_t *instance = update_instance(registry, 1000, "10.0.0.1:80");
     assert_ptr_equal(ts_registry_find(registry, first), instance);
     assert_null(ts_registry_find(registry, second));
     assert_int_equal(ts_instance_life(instance).born_ms, 1000);
-    instance = enter(registry, 2000, "10.0.0.1:80");
+    instance = update_instance(registry, 2000, "10.0.0.1:80");
     assert_null(ts_registry_find(registry, first));
     assert_ptr_equal(ts_registry_find(registry, second), instance);
     ts_registry_destroy(registry);
 }
 
-/* A clock that was set back: records come in the order of writing, so that life is the next one. */
-static void test_born_sooner_by_its_clock(void **state)
+/* The searcher's clock was set back: records arrive in the order of writing, so the later record is
+ * the next incarnation despite its earlier start time. */
+static void test_earlier_start_time_is_next_incarnation(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", NULL);
-    ts_instance_t *first = enter(registry, 2000, "10.0.0.1:80");
-    ts_instance_t *second = enter(registry, 1000, "10.0.0.1:80");
+    ts_instance_t *first = update_instance(registry, 2000, "10.0.0.1:80");
+    ts_instance_t *second = update_instance(registry, 1000, "10.0.0.1:80");
     assert_ptr_not_equal(first, second);
     assert_true(second->is_listed);
     ts_registry_destroy(registry);
 }
 
-/* The same life with another address or state stays what it is. */
-static void test_same_life_changes(void **state)
+/* A change of the address or state of the same incarnation keeps its instance. */
+static void test_same_incarnation_keeps_instance(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", NULL);
-    ts_instance_t *first = enter(registry, 1000, "10.0.0.1:80");
-    assert_ptr_equal(enter(registry, 1000, "10.0.0.2:80"), first);
+    ts_instance_t *first = update_instance(registry, 1000, "10.0.0.1:80");
+    assert_ptr_equal(update_instance(registry, 1000, "10.0.0.2:80"), first);
     ts_registry_remove(registry, "i-1", NOW_US);
-    assert_ptr_equal(enter(registry, 1000, "10.0.0.1:80"), first); // a heartbeat that came late
+    assert_ptr_equal(update_instance(registry, 1000, "10.0.0.1:80"), first); // a late heartbeat
     ts_registry_destroy(registry);
 }
 
-/* Without a birth: one that had ended, left, and is listed again lives anew. */
-static void test_birth_is_not_told(void **state)
+/* Without a start time, an instance that ended and was delisted is a new incarnation when listed
+ * again. */
+static void test_missing_start_time(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", NULL);
-    ts_instance_t *first = enter(registry, 0, "10.0.0.1:80");
+    ts_instance_t *first = update_instance(registry, 0, "10.0.0.1:80");
     ts_instance_note_ended(first);
-    assert_ptr_equal(enter(registry, 0, "10.0.0.1:80"), first); // still listed
+    assert_ptr_equal(update_instance(registry, 0, "10.0.0.1:80"), first); // still listed
     ts_registry_remove(registry, "i-1", NOW_US);
-    assert_ptr_not_equal(enter(registry, 0, "10.0.0.1:80"), first);
+    assert_ptr_not_equal(update_instance(registry, 0, "10.0.0.1:80"), first);
     ts_registry_destroy(registry);
 }
 
-static void count_visit(ts_instance_t *instance, void *lives)
+static void count_instance(ts_instance_t *instance, void *instances)
 {
-    ++*(unsigned *)lives;
+    ++*(unsigned *)instances;
 }
 
-/* A former life stays while something refers to it, and no longer. */
-static void test_former_lives_are_forgotten(void **state)
+/* A replaced instance is kept exactly as long as something refers to it. */
+static void test_replaced_instances_are_freed(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", NULL);
-    unsigned lives = 0;
-    ts_instance_t *first = enter(registry, 1000, "10.0.0.1:80");
+    unsigned instances = 0;
+    ts_instance_t *first = update_instance(registry, 1000, "10.0.0.1:80");
     first->references = 1;
     for (uint64_t born_ms = 2000; born_ms <= 100000; born_ms += 1000)
-        (void)enter(registry, born_ms, "10.0.0.1:80");
+        (void)update_instance(registry, born_ms, "10.0.0.1:80");
     ts_registry_sweep(registry, NOW_US + 20 * TS_US_PER_S);
-    ts_registry_each_instance(registry, count_visit, &lives);
-    assert_int_equal(lives, 2);
+    ts_registry_each_instance(registry, count_instance, &instances);
+    assert_int_equal(instances, 2);
     first->references = 0;
-    lives = 0;
+    instances = 0;
     ts_registry_sweep(registry, NOW_US + 20 * TS_US_PER_S);
-    ts_registry_each_instance(registry, count_visit, &lives);
-    assert_int_equal(lives, 1);
+    ts_registry_each_instance(registry, count_instance, &instances);
+    assert_int_equal(instances, 1);
     ts_registry_destroy(registry);
 }
 
-/* Ids go into a header field of each request. */
-static void test_records_that_name_nothing(void **state)
+/* Ids are sent in a header field of each request, so they must be valid there. */
+static void test_invalid_records_are_rejected(void **state)
 {
     char longest[300];
     memset(longest, 'i', sizeof(longest));
@@ -139,21 +142,21 @@
             .id = "i-1", .service = "s", .address = (char *)addresses[i], .zone = "z1"};
         assert_int_equal(ts_registry_check(&record), TS_E_ADDRESS);
     }
-    ts_instance_record_t nowhere = {
+    ts_instance_record_t no_service = {
         .id = "i-1", .service = "", .address = "10.0.0.1:80", .zone = "z1"};
-    assert_int_equal(ts_registry_check(&nowhere), TS_E_INVALID);
+    assert_int_equal(ts_registry_check(&no_service), TS_E_INVALID);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_next_life_is_not_known),
-        cmocka_unit_test(test_lives_are_told_apart),
-        cmocka_unit_test(test_born_sooner_by_its_clock),
-        cmocka_unit_test(test_same_life_changes),
-        cmocka_unit_test(test_birth_is_not_told),
-        cmocka_unit_test(test_former_lives_are_forgotten),
-        cmocka_unit_test(test_records_that_name_nothing),
+        cmocka_unit_test(test_next_incarnation_starts_fresh),
+        cmocka_unit_test(test_incarnations_are_distinguished),
+        cmocka_unit_test(test_earlier_start_time_is_next_incarnation),
+        cmocka_unit_test(test_same_incarnation_keeps_instance),
+        cmocka_unit_test(test_missing_start_time),
+        cmocka_unit_test(test_replaced_instances_are_freed),
+        cmocka_unit_test(test_invalid_records_are_rejected),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
