--- a/include/tealspar/contact.h
+++ b/include/tealspar/contact.h
@@ -19,13 +19,13 @@
 /** Replaces the members; times of the last acknowledgement from each zone are kept. */
 void ts_contact_set_view(ts_contact_t *contact, const ts_view_t *view);
 /** Records that the node at `address` has acknowledged a frame of this node. */
-void ts_contact_note(ts_contact_t *contact, const char *address, ts_time_us_t now_us);
-/** Whether this node and the zones heard recently hold more than half of the members. */
+void ts_contact_note_reply(ts_contact_t *contact, const char *address, ts_time_us_t now_us);
+/** Whether this node and the zones that replied recently hold more than half of the members. */
 bool ts_contact_has_majority(const ts_contact_t *contact, ts_time_us_t now_us);
 /**
  * Returns the address of the next node to probe, at most one in each silent zone, or NULL when no
  * zone is due for a probe. Call it repeatedly until it returns NULL.
  */
-const char *ts_contact_next_call(ts_contact_t *contact, ts_time_us_t now_us);
+const char *ts_contact_next_probe(ts_contact_t *contact, ts_time_us_t now_us);
 
 #endif
--- a/include/tealspar/instance_check.h
+++ b/include/tealspar/instance_check.h
@@ -1,6 +1,6 @@
 /**
  * Whether a back end still takes connections, asked by opening one and closing it. What comes of it
- * is noted with the instance, see ts_instance_fate.
+ * is noted with the instance, see ts_instance_liveness.
  */
 #ifndef TEALSPAR_INSTANCE_CHECK_H
 #define TEALSPAR_INSTANCE_CHECK_H
--- a/include/tealspar/peers.h
+++ b/include/tealspar/peers.h
@@ -15,41 +15,41 @@
 /** Whether this node should follow the configuration service itself now. */
 bool ts_peers_should_watch(const ts_peers_t *peers, ts_time_us_t now_us);
 /** Whether another node of the zone is the watcher. */
-bool ts_peers_may_be_told(const ts_peers_t *peers);
+bool ts_peers_is_follower(const ts_peers_t *peers);
 /** Whether this node is the watcher and its zone has other nodes. */
-bool ts_peers_is_relied_on(const ts_peers_t *peers);
+bool ts_peers_has_followers(const ts_peers_t *peers);
 /** Announces a change read from the configuration service to the zone immediately. */
 void ts_peers_announce(ts_peers_t *peers);
 /** Pulls configuration changes from a random peer, as the service does not respond. */
-void ts_peers_ask_around(ts_peers_t *peers);
+void ts_peers_pull_from_random(ts_peers_t *peers);
 /** Sends a health observation of an instance to nodes of the region. */
-void ts_peers_tell(ts_peers_t *peers, ts_life_t life, ts_sighting_t sighting);
+void ts_peers_broadcast_sighting(ts_peers_t *peers, ts_instance_key_t key, ts_sighting_t sighting);
 /**
- * This node's rank among the nodes that keep connections to an instance: nodes of the instance's
- * region first, then the others, each group by rendezvous weight.
+ * This node's index in the order of the nodes that keep connections to an instance: nodes of the
+ * instance's region first, then the others, each group by rendezvous weight.
  */
-unsigned ts_peers_place(const ts_peers_t *peers, const ts_instance_t *instance);
+unsigned ts_peers_index(const ts_peers_t *peers, const ts_instance_t *instance);
 /** Increases whenever the members or their locations may have changed. */
-uint64_t ts_peers_changes(const ts_peers_t *peers);
-/** Requests extra sends to a service from other nodes when the local retry budget is exhausted. */
-void ts_peers_ask_loan(ts_peers_t *peers, ts_service_t *service, ts_time_us_t now_us);
+uint64_t ts_peers_view_version(const ts_peers_t *peers);
+/** Borrows retry budget of a service from other nodes when the local budget is exhausted. */
+void ts_peers_request_loan(ts_peers_t *peers, ts_service_t *service, ts_time_us_t now_us);
 /**
- * The home of a rate account, which deals out its tokens: the live node with the highest rendezvous
- * weight. TS_RATE_DEALER_NONE while less than half of the fleet is visible, or while this node has
+ * The home of a rate account, which issues its tokens: the live node with the highest rendezvous
+ * weight. TS_RATE_DEALER_NONE while the view holds no majority of the fleet, or while this node has
  * just started and cannot tell; see ts_rate_limiter_ops_t.
  */
-ts_rate_dealer_t ts_peers_rate_home(const ts_peers_t *peers, const char *account,
-                                    const char **address);
+ts_rate_dealer_t ts_peers_find_rate_home(const ts_peers_t *peers, const char *account,
+                                         const char **address);
 /**
  * The deputy of an account in this zone: the home if it is in this zone, otherwise the zone's live
  * node with the highest rendezvous weight.
  */
-ts_rate_dealer_t ts_peers_rate_deputy(const ts_peers_t *peers, const char *account,
-                                      const char **address);
-/** Requests tokens from the node at `address`. */
-void ts_peers_ask_rate(ts_peers_t *peers, const char *address, const ts_rate_row_t *row);
-/** Replies to a token request from the node at `address`. */
-void ts_peers_answer_rate(ts_peers_t *peers, const char *address, const ts_rate_row_t *row);
+ts_rate_dealer_t ts_peers_find_rate_deputy(const ts_peers_t *peers, const char *account,
+                                           const char **address);
+/** Claims tokens from the node at `address`. */
+void ts_peers_send_rate_claim(ts_peers_t *peers, const char *address, const ts_rate_row_t *row);
+/** Grants tokens in reply to a claim from the node at `address`. */
+void ts_peers_send_rate_grant(ts_peers_t *peers, const char *address, const ts_rate_row_t *row);
 /** Number of nodes in the view that are not dead, including this one. */
 unsigned ts_peers_count(const ts_peers_t *peers);
 /** For tests: suppresses all sending, as in a process that is suspended. */
--- a/src/control/store_mirror.c
+++ b/src/control/store_mirror.c
@@ -101,7 +101,7 @@
     ts_instance_record_t record = {0};
     ts_error_t error = mirror->gateway->dialect->read_instance(entry, &record);
     if (error == TS_OK)
-        error = ts_registry_check(&record);
+        error = ts_registry_validate(&record);
     if (error == TS_OK)
         (void)ts_registry_update(registry, &record, now_us);
     else
--- a/src/control/store_watch.c
+++ b/src/control/store_watch.c
@@ -97,7 +97,7 @@
 {
     const ts_peers_t *peers = watch->gateway->peers;
     uint32_t pause_ms = watch->relist_ms;
-    if (pause_ms == 0 && peers != NULL && ts_peers_may_be_told(peers))
+    if (pause_ms == 0 && peers != NULL && ts_peers_is_follower(peers))
         pause_ms = RELIST_OTHERS_MS;
     watch->relist_ms = CLAMP(watch->relist_ms * BACKOFF_GROWTH, BACKOFF_FIRST_MS, BACKOFF_MAX_MS);
     begin_list(watch);
@@ -232,7 +232,7 @@
     ts_count(TS_COUNTER_PLATFORM_FAILURES, 1);
     note_lost(watch, reason);
     if (watch->gateway->peers != NULL) {
-        ts_peers_ask_around(watch->gateway->peers);
+        ts_peers_pull_from_random(watch->gateway->peers);
     }
     pause_for(watch, spread(watch, watch->backoff_ms));
     /* A node that knows nothing yet can serve nobody: it keeps asking. */
@@ -331,7 +331,7 @@
 static bool is_relied_on(const ts_store_watch_t *watch)
 {
     const ts_gateway_t *gateway = watch->gateway;
-    return gateway->peers != NULL && ts_peers_is_relied_on(gateway->peers);
+    return gateway->peers != NULL && ts_peers_has_followers(gateway->peers);
 }
 
 /* Whether a peer may still tell that it follows the service for this node. */
--- a/src/edge/broken_sends.c
+++ b/src/edge/broken_sends.c
@@ -65,15 +65,15 @@
 
 static bool explain(const ts_broken_sends_t *broken, unexplained_t *send, ts_time_us_t now_us)
 {
-    switch (ts_instance_fate(send->instance, send->broken_us, now_us)) {
-    case TS_FATE_UNKNOWN:
+    switch (ts_instance_liveness(send->instance, send->broken_us, now_us)) {
+    case TS_LIVENESS_UNKNOWN:
         return false;
-    case TS_FATE_LIVES:
+    case TS_LIVENESS_ALIVE:
         if (send->is_lone && !send->has_trial_ended)
             ts_quarantine_end_trial(broken->quarantine, ts_outgoing_digest(send->outgoing), now_us);
         send->has_trial_ended = true;
         return now_us - send->broken_us > NEXT_LIFE_US;
-    case TS_FATE_ENDED:
+    case TS_LIVENESS_ENDED:
         return take_end(broken, send, now_us);
     }
     return true;
--- a/src/edge/gateway.c
+++ b/src/edge/gateway.c
@@ -71,7 +71,7 @@
     g_hash_table_iter_init(&iterator, gateway->traffic->services);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const ts_traffic_service_t *service = value;
-        ts_service_t *known = ts_registry_service(gateway->registry, service->name);
+        ts_service_t *known = ts_registry_ensure_service(gateway->registry, service->name);
         known->connections_max = service->connections_max;
         known->warmup_us = service->warmup_ms * TS_US_PER_MS;
         known->warmup_rate = service->warmup_rate;
@@ -199,14 +199,14 @@
     ts_gateway_settings_free(gateway->settings);
     gateway->settings = settings;
     apply_settings(gateway);
-    ts_registry_relocate(gateway->registry);
+    ts_registry_update_locations(gateway->registry);
     ts_store_watch_reload(gateway->store);
 }
 
 static void tell_peers(void *ctx, const ts_instance_t *instance, ts_sighting_t sighting)
 {
     const ts_gateway_t *gateway = ctx;
-    ts_peers_tell(gateway->peers, ts_instance_life(instance), sighting);
+    ts_peers_broadcast_sighting(gateway->peers, ts_instance_key_of(instance), sighting);
 }
 
 /* How many resting connections to an instance this node keeps; worked out when the fleet changes.
@@ -214,18 +214,19 @@
 static uint32_t kept_connections(void *ctx, ts_instance_t *instance, ts_time_us_t now_us)
 {
     const ts_gateway_t *gateway = ctx;
-    uint64_t changes = gateway->peers == NULL ? 0 : ts_peers_changes(gateway->peers);
+    uint64_t changes = gateway->peers == NULL ? 0 : ts_peers_view_version(gateway->peers);
     uint64_t basis = (changes << BASIS_NODES_BITS) + gateway->nodes;
-    bool is_settled = now_us - instance->kept_at_us < KEPT_VALID_US;
-    if (instance->kept_at_us != 0 && (instance->kept_basis == basis || is_settled))
-        return instance->kept_max;
+    bool is_settled = now_us - instance->idle_connections_max_at_us < KEPT_VALID_US;
+    if (instance->idle_connections_max_at_us != 0 &&
+        (instance->idle_connections_basis == basis || is_settled))
+        return instance->idle_connections_max;
     uint32_t most = instance->service->connections_max;
-    unsigned place = gateway->peers == NULL ? 0 : ts_peers_place(gateway->peers, instance);
-    instance->kept_max =
+    unsigned place = gateway->peers == NULL ? 0 : ts_peers_index(gateway->peers, instance);
+    instance->idle_connections_max =
         most == 0 ? KEPT_DEFAULT : ts_connection_share(most, gateway->nodes, place);
-    instance->kept_at_us = now_us;
-    instance->kept_basis = basis;
-    return instance->kept_max;
+    instance->idle_connections_max_at_us = now_us;
+    instance->idle_connections_basis = basis;
+    return instance->idle_connections_max;
 }
 
 /*
@@ -247,11 +248,11 @@
     for (guint i = 0; i < service->instances->len; i++) {
         ts_instance_t *instance = g_ptr_array_index(service->instances, i);
         bool is_due = instance->cold_at_us == 0 || now_us - instance->cold_at_us > KEPT_VALID_US;
-        if (!is_due || !ts_instance_is_cold_bound(instance, now_us))
+        if (!is_due || !ts_instance_is_warmup_limited(instance, now_us))
             continue;
         ts_fleet_place_t fleet = {gateway->nodes, 0, is_fleet_certain(gateway, now_us)};
         if (gateway->peers != NULL)
-            fleet.place = ts_peers_place(gateway->peers, instance);
+            fleet.place = ts_peers_index(gateway->peers, instance);
         instance->cold.share = ts_cold_share(&gateway->cold_rule, service->warmup_rate, &fleet);
         instance->cold_at_us = now_us;
     }
--- a/src/edge/gateway_metrics.c
+++ b/src/edge/gateway_metrics.c
@@ -101,7 +101,7 @@
     ts_gauge_set(TS_COUNTER_STORE_REVISION,
                  (int64_t)ts_store_mirror_position(gateway->mirror).revision);
     ts_gauge_set(TS_COUNTER_STORE_FORMER_ENTRIES, ts_store_mirror_count_former(gateway->mirror));
-    ts_gauge_set(TS_COUNTER_INSTANCES_LISTED, ts_registry_listed(gateway->registry));
+    ts_gauge_set(TS_COUNTER_INSTANCES_LISTED, ts_registry_count_listed(gateway->registry));
     ts_counters_write_prometheus(out);
     ts_byte_account_write(out);
     ts_tenant_counters_write(out);
--- a/src/edge/gateway_quota.c
+++ b/src/edge/gateway_quota.c
@@ -38,7 +38,7 @@
     const ts_gateway_t *gateway = ctx;
     if (gateway->peers == NULL)
         return TS_RATE_DEALER_SELF;
-    return ts_peers_rate_home(gateway->peers, account, address);
+    return ts_peers_find_rate_home(gateway->peers, account, address);
 }
 
 static ts_rate_dealer_t find_deputy(void *ctx, const char *account, const char **address)
@@ -46,7 +46,7 @@
     const ts_gateway_t *gateway = ctx;
     if (gateway->peers == NULL)
         return TS_RATE_DEALER_SELF;
-    return ts_peers_rate_deputy(gateway->peers, account, address);
+    return ts_peers_find_rate_deputy(gateway->peers, account, address);
 }
 
 static unsigned count_nodes(void *ctx)
@@ -59,13 +59,13 @@
 static void ask_dealer(void *ctx, const char *address, const ts_rate_row_t *row)
 {
     const ts_gateway_t *gateway = ctx;
-    ts_peers_ask_rate(gateway->peers, address, row);
+    ts_peers_send_rate_claim(gateway->peers, address, row);
 }
 
 static void answer(void *ctx, const char *address, const ts_rate_row_t *row)
 {
     const ts_gateway_t *gateway = ctx;
-    ts_peers_answer_rate(gateway->peers, address, row);
+    ts_peers_send_rate_grant(gateway->peers, address, row);
 }
 
 /* Requests that wait for a token of the account look again. */
@@ -85,7 +85,7 @@
  */
 static bool is_expecting_due(ts_gateway_t *gateway, ts_time_us_t now_us)
 {
-    uint64_t changes = gateway->peers == NULL ? 0 : ts_peers_changes(gateway->peers);
+    uint64_t changes = gateway->peers == NULL ? 0 : ts_peers_view_version(gateway->peers);
     uint64_t version = gateway->traffic == NULL ? 0 : gateway->traffic->version;
     if (changes != gateway->expected_changes || version != gateway->expected_version) {
         gateway->expected_changes = changes;
--- a/src/edge/part_answer.c
+++ b/src/edge/part_answer.c
@@ -95,8 +95,8 @@
                          const ts_instance_t *instance)
 {
     if (instance->distance != TS_DISTANCE_FAR && !result->is_untimed) {
-        double extra_us = ts_travel_us(instance->travel) -
-                          ts_registry_travel_least_us(part->request->gateway->registry);
+        double extra_us =
+            ts_travel_us(instance->rtt) - ts_registry_rtt_min_us(part->request->gateway->registry);
         double span_us = MAX((double)result->span_us - extra_us, 1);
         ts_route_state_note(part->request->state, span_us);
     }
--- a/src/edge/request.c
+++ b/src/edge/request.c
@@ -106,7 +106,7 @@
 {
     ts_request_part_t *part = &request->parts[index];
     part->request = request;
-    part->service = ts_registry_service(request->gateway->registry, service);
+    part->service = ts_registry_ensure_service(request->gateway->registry, service);
     ts_retry_budget_count_request(&part->service->budget, &request->gateway->rule,
                                   ts_clock_now_us());
 }
--- a/src/edge/request_caution.c
+++ b/src/edge/request_caution.c
@@ -107,12 +107,12 @@
         return TS_CAUTION_STOP;
     if (request->lone_broken == NULL)
         return TS_CAUTION_NONE;
-    switch (ts_instance_fate(request->lone_broken, request->lone_broken_us, now_us)) {
-    case TS_FATE_UNKNOWN:
+    switch (ts_instance_liveness(request->lone_broken, request->lone_broken_us, now_us)) {
+    case TS_LIVENESS_UNKNOWN:
         return TS_CAUTION_WAIT;
-    case TS_FATE_ENDED:
+    case TS_LIVENESS_ENDED:
         return TS_CAUTION_STOP;
-    case TS_FATE_LIVES:
+    case TS_LIVENESS_ALIVE:
         break;
     }
     return TS_CAUTION_NONE;
--- a/src/edge/request_part.c
+++ b/src/edge/request_part.c
@@ -79,9 +79,9 @@
     if (!is_patient || request->gateway->settings->policy != TS_LATE_ADAPTIVE) {
         return overdue_us;
     }
-    ts_time_us_t need_us = (ts_time_us_t)(SECOND_SEND_SAFETY *
-                                          (ts_route_state_overdue_us(request->state) +
-                                           ts_registry_travel_most_us(request->gateway->registry)));
+    ts_time_us_t need_us =
+        (ts_time_us_t)(SECOND_SEND_SAFETY * (ts_route_state_overdue_us(request->state) +
+                                             ts_registry_rtt_max_us(request->gateway->registry)));
     ts_time_us_t latest_us = request->stop_us > need_us ? request->stop_us - need_us : 0;
     return latest_us > overdue_us ? latest_us : overdue_us;
 }
@@ -100,7 +100,7 @@
 {
     ts_request_t *request = part->request;
     double typical_us = request->state->typical.value_us;
-    double travel_us = ts_travel_us(instance->travel);
+    double travel_us = ts_travel_us(instance->rtt);
     part->tried[part->sends] = instance;
     ts_instance_note_sent(instance, now_us);
     instance->references++;
@@ -155,13 +155,13 @@
 void ts_part_note_wanted(const ts_request_part_t *part, ts_time_us_t now_us)
 {
     if (ts_part_is_blocked(part, now_us))
-        part->service->wanted_us = now_us;
+        part->service->blocked_us = now_us;
 }
 
 static bool is_scarce(const ts_request_part_t *part, ts_time_us_t now_us)
 {
-    return ts_mechanism_is_on(TS_MECHANISM_SCARCE) && part->service->wanted_us != 0 &&
-           now_us - part->service->wanted_us < SCARCE_US;
+    return ts_mechanism_is_on(TS_MECHANISM_SCARCE) && part->service->blocked_us != 0 &&
+           now_us - part->service->blocked_us < SCARCE_US;
 }
 
 /* Whether the request can succeed with the parts that are in or under way beside this one. */
@@ -272,7 +272,7 @@
 {
     ts_gateway_t *gateway = part->request->gateway;
     if (gateway->peers != NULL)
-        ts_peers_ask_loan(gateway->peers, part->service, now_us);
+        ts_peers_request_loan(gateway->peers, part->service, now_us);
     if (part->was_denied)
         return;
     part->was_denied = true;
@@ -405,7 +405,7 @@
 {
     for (unsigned i = 0; i < part->sends; i++) {
         if (part->exchanges[i] != NULL)
-            ts_instance_tell_overdue(ts_exchange_instance(part->exchanges[i]));
+            ts_instance_report_suspicion(ts_exchange_instance(part->exchanges[i]));
     }
 }
 
--- a/src/peers/contact.c
+++ b/src/peers/contact.c
@@ -4,8 +4,9 @@
 #include <glib.h>
 #include <string.h>
 
-/* A zone counts as heard for this long, enough to tolerate two lost probes in a row. */
-#define HEARD_TIMEOUT_US (2 * TS_US_PER_S)
+/* A zone counts as reachable for this long after an acknowledgement, enough to tolerate two lost
+ * probes in a row. */
+#define REACHABLE_TIMEOUT_US (2 * TS_US_PER_S)
 /* Silence after which a zone is probed, and the interval of probes while it stays silent. */
 #define PROBE_AFTER_US (700 * TS_US_PER_MS)
 #define PROBE_INTERVAL_US (400 * TS_US_PER_MS)
@@ -82,7 +83,7 @@
     }
 }
 
-void ts_contact_note(ts_contact_t *contact, const char *address, ts_time_us_t now_us)
+void ts_contact_note_reply(ts_contact_t *contact, const char *address, ts_time_us_t now_us)
 {
     zone_t *zone = g_hash_table_lookup(contact->zone_by_address, address);
     if (zone != NULL)
@@ -91,16 +92,16 @@
 
 bool ts_contact_has_majority(const ts_contact_t *contact, ts_time_us_t now_us)
 {
-    size_t heard = 1; // this node
+    size_t reachable = 1; // this node
     for (guint i = 0; i < contact->zones->len; i++) {
         const zone_t *zone = g_ptr_array_index(contact->zones, i);
-        if (zone->heard_us != 0 && now_us - zone->heard_us < HEARD_TIMEOUT_US)
-            heard += zone->addresses->len;
+        if (zone->heard_us != 0 && now_us - zone->heard_us < REACHABLE_TIMEOUT_US)
+            reachable += zone->addresses->len;
     }
-    return 2 * heard > contact->members;
+    return 2 * reachable > contact->members;
 }
 
-const char *ts_contact_next_call(ts_contact_t *contact, ts_time_us_t now_us)
+const char *ts_contact_next_probe(ts_contact_t *contact, ts_time_us_t now_us)
 {
     for (guint i = 0; i < contact->zones->len; i++) {
         zone_t *zone = g_ptr_array_index(contact->zones, i);
--- a/src/peers/peer_link.c
+++ b/src/peers/peer_link.c
@@ -84,7 +84,7 @@
     uint32_t last_dial;
     unsigned buffer; /* see BUFFER_MESSAGES */
     ts_peer_received_t received;
-    ts_peer_lost_t lost; /* may be NULL */
+    ts_peer_disconnected_t lost; /* may be NULL */
     void *context;
 };
 
@@ -315,7 +315,7 @@
 
 /* -- Public interface -------------------------------------------------------------------------- */
 
-void ts_peer_link_on_lost(ts_peer_link_t *link, ts_peer_lost_t lost)
+void ts_peer_link_on_disconnect(ts_peer_link_t *link, ts_peer_disconnected_t lost)
 {
     link->lost = lost;
 }
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -17,7 +17,7 @@
 
 bool ts_peers_is_watcher(const ts_peers_t *peers)
 {
-    return peers->own_place == 0;
+    return peers->own_index == 0;
 }
 
 /* -- Sending ----------------------------------------------------------------------------------- */
@@ -46,7 +46,7 @@
     frame->protocol = PROTOCOL;
     frame->name = settings->name;
     frame->address = (char *)ts_gateway_settings_reached_at(settings);
-    ts_peers_mark_frame(peers, address, frame);
+    ts_peers_number_frame(peers, address, frame);
     size_t length = ts_peer__frame__get_packed_size(frame);
     uint8_t *bytes = g_malloc(length);
     ts_peer__frame__pack(frame, bytes);
@@ -63,26 +63,26 @@
         ts_count_error(TS_E_PROTOCOL);
     }
     if (frame->beacon != NULL) {
-        ts_peers_take_beacon(peers, frame);
+        ts_peers_handle_beacon(peers, frame);
     }
     if (frame->pull != NULL) {
-        ts_peers_take_pull(peers, frame);
+        ts_peers_handle_pull(peers, frame);
     }
     if (frame->changes != NULL) {
-        ts_peers_take_changes(peers, frame->changes);
+        ts_peers_handle_changes(peers, frame->changes);
     }
     if (frame->sighting != NULL) {
-        ts_peers_take_sighting(peers, frame->sighting);
+        ts_peers_handle_sighting(peers, frame->sighting);
     }
     if (frame->loan != NULL) {
-        ts_peers_take_loan(peers, frame->address, frame->loan);
+        ts_peers_handle_loan(peers, frame->address, frame->loan);
     }
     if (frame->evidence != NULL)
-        ts_peers_take_evidence(peers, frame);
+        ts_peers_handle_evidence(peers, frame);
     if (frame->rate != NULL)
-        ts_peers_take_rate(peers, frame);
+        ts_peers_handle_rate(peers, frame);
     if (frame->quarantine != NULL)
-        ts_peers_take_quarantine(peers, frame);
+        ts_peers_handle_quarantine(peers, frame);
 }
 
 static void handle_frame(void *context, const uint8_t *bytes, size_t length)
@@ -96,11 +96,11 @@
         }
         return;
     }
-    bool wants_echo = ts_peers_note_frame(peers, frame);
+    bool wants_echo = ts_peers_process_ack(peers, frame);
     uint32_t sent = ts_peers_frames_sent(peers, frame->address);
     dispatch_frame(peers, frame);
     if (wants_echo && ts_peers_frames_sent(peers, frame->address) == sent)
-        ts_peers_send_echo(peers, frame->address); // no other frame has carried the ack
+        ts_peers_send_ack(peers, frame->address); // no other frame has carried the ack
     ts_peer__frame__free_unpacked(frame, NULL);
 }
 
@@ -144,14 +144,14 @@
     g_ptr_array_sort(peers->zone_order, ts_peers_compare_members);
     for (guint i = 0; i < peers->zone_order->len; i++) {
         if (((ts_view_member_t *)g_ptr_array_index(peers->zone_order, i))->is_self) {
-            peers->own_place = i;
+            peers->own_index = i;
         }
     }
 }
 
 void ts_peers_send_to_children(ts_peers_t *peers, TsPeer__Frame *frame)
 {
-    guint begin = peers->own_place * TREE_CHILDREN + 1;
+    guint begin = peers->own_index * TREE_CHILDREN + 1;
     for (guint i = begin; i < begin + TREE_CHILDREN && i < peers->zone_order->len; i++) {
         const ts_view_member_t *member = g_ptr_array_index(peers->zone_order, i);
         ts_peers_send(peers, member->address, frame);
@@ -160,10 +160,10 @@
 
 const char *ts_peers_parent(const ts_peers_t *peers)
 {
-    if (peers->own_place == 0)
+    if (peers->own_index == 0)
         return NULL;
-    guint place = (peers->own_place - 1) / TREE_CHILDREN;
-    const ts_view_member_t *parent = g_ptr_array_index(peers->zone_order, place);
+    guint index = (peers->own_index - 1) / TREE_CHILDREN;
+    const ts_view_member_t *parent = g_ptr_array_index(peers->zone_order, index);
     return parent->address;
 }
 
@@ -174,9 +174,9 @@
     peers->view = ts_membership_view(peers->membership);
     sort_zone(peers);
     ts_peers_locate_members(peers);
-    ts_peers_find_collector(peers);
-    ts_peers_change_homes(peers);
-    ts_peers_forget_echoes(peers);
+    ts_peers_choose_collector(peers);
+    ts_peers_update_homes(peers);
+    ts_peers_prune_acks(peers);
     ts_gauge_set(TS_COUNTER_MEMBERS_LIVE,
                  (int64_t)ts_membership_count(peers->membership, TS_MEMBER_LIVE));
     ts_gateway_set_nodes(peers->gateway, (unsigned)peers->view->count);
@@ -193,11 +193,11 @@
 {
     ts_peers_t *peers = timer->data;
     ts_membership_tick(peers->membership, ts_clock_now_us());
-    if (ts_peers_is_in_need(peers)) {
-        ts_peers_ask_around(peers);
+    if (ts_peers_needs_bootstrap(peers)) {
+        ts_peers_pull_from_random(peers);
     }
     ts_peers_compare_quarantine(peers);
-    ts_peers_check_contact(peers);
+    ts_peers_probe_silent_zones(peers);
     if (++peers->ticks % BEACON_TICKS == 0 && ts_peers_is_watcher(peers) &&
         ts_store_mirror_is_primed(peers->mirror)) {
         ts_peers_send_beacon(peers);
@@ -240,8 +240,8 @@
 
 ts_peers_t *ts_peers_open(ts_gateway_t *gateway, ts_store_mirror_t *mirror)
 {
-    static const ts_membership_ops_t ops = {send_gossip, ts_peers_hear_config, update_view,
-                                            log_member};
+    static const ts_membership_ops_t ops = {send_gossip, ts_peers_handle_config_version,
+                                            update_view, log_member};
     const ts_gateway_settings_t *settings = gateway->settings;
     ts_peers_t *peers = g_new0(ts_peers_t, 1);
     uint64_t incarnation = (uint64_t)ts_clock_wall_ms();
@@ -259,7 +259,7 @@
     if (peers->link == NULL) {
         return NULL;
     }
-    ts_peers_open_echoes(peers);
+    ts_peers_init_acks(peers);
     peers->contact = ts_contact_create(ts_hash_text(settings->name));
     peers->membership = ts_membership_create(&config, &ops, peers, ts_clock_now_us());
     peers->zone_order = g_ptr_array_new();
@@ -268,10 +268,10 @@
     peers->view = ts_membership_view(peers->membership);
     sort_zone(peers);
     ts_peers_locate_members(peers);
-    ts_peers_change_homes(peers);
-    ts_peers_open_evidence(peers);
-    ts_peers_open_quarantine(peers);
-    ts_registry_on_evidence(gateway->registry, ts_peers_wake_evidence, peers);
+    ts_peers_update_homes(peers);
+    ts_peers_init_evidence(peers);
+    ts_peers_init_quarantine(peers);
+    ts_registry_on_evidence(gateway->registry, ts_peers_schedule_evidence, peers);
     add_seeds(peers);
     uv_timer_init(gateway->loop, &peers->timer);
     peers->timer.data = peers;
--- a/src/peers/peers_echo.c
+++ b/src/peers/peers_echo.c
@@ -21,18 +21,18 @@
     ts_time_us_t requested_us;      /* when an ack was requested; 0: no request is outstanding */
 } ack_state_t;
 
-void ts_peers_open_echoes(ts_peers_t *peers)
+void ts_peers_init_acks(ts_peers_t *peers)
 {
-    peers->echoes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    peers->acks = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
 static ack_state_t *find_or_add_ack_state(ts_peers_t *peers, const char *address)
 {
-    ack_state_t *ack = g_hash_table_lookup(peers->echoes, address);
+    ack_state_t *ack = g_hash_table_lookup(peers->acks, address);
     if (ack != NULL)
         return ack;
     ack = g_new0(ack_state_t, 1);
-    g_hash_table_insert(peers->echoes, g_strdup(address), ack);
+    g_hash_table_insert(peers->acks, g_strdup(address), ack);
     return ack;
 }
 
@@ -53,7 +53,7 @@
     ts_peer_link_reset(peers->link, address);
 }
 
-void ts_peers_mark_frame(ts_peers_t *peers, const char *address, TsPeer__Frame *frame)
+void ts_peers_number_frame(ts_peers_t *peers, const char *address, TsPeer__Frame *frame)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     ack_state_t *ack = find_or_add_ack_state(peers, address);
@@ -68,15 +68,15 @@
         ack->requested_us = now_us;
 }
 
-bool ts_peers_note_frame(ts_peers_t *peers, const TsPeer__Frame *frame)
+bool ts_peers_process_ack(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     ack_state_t *ack = find_or_add_ack_state(peers, frame->address);
     ack->heard = frame->number;
     bool is_new_ack = frame->heard > ack->acknowledged && frame->heard <= ack->sent;
     if (is_new_ack) {
-        ts_contact_note(peers->contact, frame->address, now_us); // both directions work
-        ts_peers_check_standing(peers);
+        ts_contact_note_reply(peers->contact, frame->address, now_us); // both directions work
+        ts_peers_update_home_eligibility(peers);
         ack->acknowledged = frame->heard;
         ack->unacknowledged_us = frame->heard == ack->sent ? 0 : now_us;
         ack->requested_us = 0;
@@ -89,13 +89,13 @@
     return find_or_add_ack_state(peers, address)->sent;
 }
 
-void ts_peers_send_echo(ts_peers_t *peers, const char *address)
+void ts_peers_send_ack(ts_peers_t *peers, const char *address)
 {
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
     ts_peers_send(peers, address, &frame);
 }
 
-void ts_peers_call(ts_peers_t *peers, const char *address)
+void ts_peers_send_probe(ts_peers_t *peers, const char *address)
 {
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
     frame.wants_echo = true;
@@ -108,7 +108,7 @@
     return !g_hash_table_contains(peers->distances, address);
 }
 
-void ts_peers_forget_echoes(ts_peers_t *peers)
+void ts_peers_prune_acks(ts_peers_t *peers)
 {
-    g_hash_table_foreach_remove(peers->echoes, is_not_member, peers);
+    g_hash_table_foreach_remove(peers->acks, is_not_member, peers);
 }
--- a/src/peers/peers_evidence.c
+++ b/src/peers/peers_evidence.c
@@ -16,7 +16,7 @@
 
 /* Counts are batched for this long before they are sent one level up. */
 #define BATCH_MS 50
-/* Interval at which unchanged sums are repeated, well within their half-life. */
+/* Interval at which unchanged sums are repeated, well within their half-key. */
 #define REPEAT_INTERVAL_US (400 * TS_US_PER_MS)
 /* Minimum change, against the sums sent last, for sending again before that interval. */
 #define FAILURE_RATE_CHANGE 0.1
@@ -85,8 +85,8 @@
 static void count_activity(ts_instance_t *instance, void *ctx)
 {
     activity_t *activity = ctx;
-    activity->active += instance->own_us >= activity->since_us;
-    activity->anomalous += instance->own_sign_us >= activity->since_us;
+    activity->active += instance->own_evidence_us >= activity->since_us;
+    activity->anomalous += instance->own_anomaly_us >= activity->since_us;
 }
 
 static bool is_local_fault(const ts_peers_t *peers)
@@ -102,7 +102,7 @@
     batch_t *batch = ctx;
     if (ts_evidence_count_is_empty(&instance->outbox) || !is_worth_sending(instance, batch->now_us))
         return;
-    if (batch->is_local_fault && instance->own_sign_us >= batch->peers->evidence_us) {
+    if (batch->is_local_fault && instance->own_anomaly_us >= batch->peers->evidence_us) {
         instance->outbox = (ts_evidence_count_t){0};
         return;
     }
@@ -144,14 +144,15 @@
 static bool is_worth_publishing(const ts_instance_t *instance, const ts_evidence_sums_t *sums,
                                 ts_time_us_t now_us)
 {
-    ts_evidence_sums_t published = ts_evidence_sums(&instance->heard, now_us);
+    ts_evidence_sums_t published = ts_evidence_sums(&instance->fleet_evidence, now_us);
     double rate_change = ts_evidence_failing(sums) - ts_evidence_failing(&published);
     double ratio_change = ts_evidence_slowness(sums) / ts_evidence_slowness(&published);
     bool is_changed = rate_change > FAILURE_RATE_CHANGE || rate_change < -FAILURE_RATE_CHANGE ||
                       ratio_change > LATENCY_RATIO_CHANGE ||
                       ratio_change < 1 / LATENCY_RATIO_CHANGE;
     bool is_anomalous = ts_evidence_is_unusual(sums) || ts_evidence_is_unusual(&published);
-    return is_anomalous && (is_changed || now_us - instance->heard.at_us > REPEAT_INTERVAL_US);
+    return is_anomalous &&
+           (is_changed || now_us - instance->fleet_evidence.at_us > REPEAT_INTERVAL_US);
 }
 
 static void aggregate_outbox(ts_instance_t *instance, void *ctx)
@@ -159,16 +160,17 @@
     batch_t *batch = ctx;
     if (ts_evidence_count_is_empty(&instance->outbox) || !is_worth_sending(instance, batch->now_us))
         return;
-    if (instance->collected == NULL)
-        instance->collected = g_new0(ts_evidence_t, 1);
-    if (instance->heard.at_us > instance->collected->at_us)
-        *instance->collected = instance->heard; // take over from a previous collector
-    ts_evidence_note(instance->collected, &instance->outbox, batch->now_us);
+    if (instance->collected_evidence == NULL)
+        instance->collected_evidence = g_new0(ts_evidence_t, 1);
+    if (instance->fleet_evidence.at_us > instance->collected_evidence->at_us)
+        *instance->collected_evidence =
+            instance->fleet_evidence; // take over from a previous collector
+    ts_evidence_note(instance->collected_evidence, &instance->outbox, batch->now_us);
     instance->outbox = (ts_evidence_count_t){0};
-    ts_evidence_sums_t sums = ts_evidence_sums(instance->collected, batch->now_us);
+    ts_evidence_sums_t sums = ts_evidence_sums(instance->collected_evidence, batch->now_us);
     if (!is_worth_publishing(instance, &sums, batch->now_us))
         return;
-    ts_evidence_set(&instance->heard, &sums, batch->now_us);
+    ts_evidence_set(&instance->fleet_evidence, &sums, batch->now_us);
     TsPeer__EvidenceRow row = TS_PEER__EVIDENCE_ROW__INIT;
     row.instance = instance->id;
     row.born_ms = instance->born_ms;
@@ -199,7 +201,7 @@
     peers->evidence_us = now_us;
 }
 
-void ts_peers_wake_evidence(void *ctx)
+void ts_peers_schedule_evidence(void *ctx)
 {
     ts_peers_t *peers = ctx;
     if (!uv_is_active((uv_handle_t *)&peers->evidence_timer))
@@ -234,10 +236,10 @@
 static void apply_sums(ts_instance_t *instance, const TsPeer__EvidenceRow *row, ts_time_us_t now_us)
 {
     ts_evidence_sums_t sums = {row->answers, row->failures, row->timed, row->log_ratio};
-    ts_evidence_set(&instance->heard, &sums, now_us);
+    ts_evidence_set(&instance->fleet_evidence, &sums, now_us);
 }
 
-void ts_peers_take_evidence(ts_peers_t *peers, const TsPeer__Frame *frame)
+void ts_peers_handle_evidence(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     const TsPeer__Evidence *evidence = frame->evidence;
     ts_time_us_t now_us = ts_clock_now_us();
@@ -247,8 +249,8 @@
     }
     for (size_t i = 0; i < evidence->n_rows; i++) {
         const TsPeer__EvidenceRow *row = evidence->rows[i];
-        ts_life_t life = {row->instance, row->born_ms};
-        ts_instance_t *instance = ts_registry_find(peers->gateway->registry, life);
+        ts_instance_key_t key = {row->instance, row->born_ms};
+        ts_instance_t *instance = ts_registry_find(peers->gateway->registry, key);
         if (instance == NULL)
             continue; // this incarnation is not known here yet, or was replaced
         if (evidence->is_sums)
@@ -267,7 +269,7 @@
 
 // -- Choice of the collector
 
-void ts_peers_find_collector(ts_peers_t *peers)
+void ts_peers_choose_collector(ts_peers_t *peers)
 {
     GHashTable *heads = g_hash_table_new(g_str_hash, g_str_equal); // zone -> first live member
     const ts_view_member_t *collector = NULL;
@@ -297,12 +299,12 @@
     peers->is_collector = collector != NULL && collector->is_self;
 }
 
-void ts_peers_open_evidence(ts_peers_t *peers)
+void ts_peers_init_evidence(ts_peers_t *peers)
 {
     peers->zone_heads = g_ptr_array_new();
     peers->evidence_seen = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     peers->evidence_sequence = ts_gateway_random(peers->gateway);
     uv_timer_init(peers->gateway->loop, &peers->evidence_timer);
     peers->evidence_timer.data = peers;
-    ts_peers_find_collector(peers);
+    ts_peers_choose_collector(peers);
 }
--- a/src/peers/peers_internal.h
+++ b/src/peers/peers_internal.h
@@ -16,7 +16,7 @@
     ts_membership_t *membership;
     ts_peer_link_t *link;
     ts_view_t *view;
-    uint64_t changes;      /**< increases with each change of the view */
+    uint64_t view_version; /**< increases with each change of the view */
     GPtrArray *regions;    /**< regions of the view's members, in its order; interned or NULL */
     GHashTable *distances; /**< address of a member -> ts_distance_t stored as a pointer */
     uv_timer_t timer;
@@ -26,18 +26,18 @@
      * node at index i begin at TREE_CHILDREN * i + 1.
      */
     GPtrArray *zone_order;
-    guint own_place;           /* index of this node in `zone_order` */
-    ts_time_us_t passed_on_us; /* time of confirmation in the last beacon sent to the children */
-    ts_store_position_t passed_on; /* position in that beacon */
+    guint own_index;                     /* index of this node in `zone_order` */
+    ts_time_us_t beacon_confirmed_us;    /* confirmation time in the last beacon sent */
+    ts_store_position_t beacon_position; /* position in that beacon */
     unsigned ticks;
     bool is_mute;                  /**< see ts_peers_set_mute */
     ts_time_us_t pulled_us;        /* when the outstanding pull was sent; 0: none is outstanding */
     ts_store_position_t announced; /**< newest position announced by a peer */
     char *announcer;               /**< address of that peer; NULL: none yet */
-    uint64_t heard_version;        /* newest configuration version announced by gossip */
-    ts_time_us_t heard_us;         /* when it was first announced */
-    ts_time_us_t asked_us;         /* when a random peer was last sent a pull */
-    unsigned asked_times;          /* number of these pulls */
+    uint64_t announced_version;    /* newest configuration version announced by gossip */
+    ts_time_us_t announced_version_us; /* when it was first announced */
+    ts_time_us_t random_pull_us;       /* when a random peer was last sent a pull */
+    unsigned random_pulls;             /* number of these pulls */
     /* Evidence about backends; see peers_evidence.c. */
     GPtrArray *zone_heads;     /* of ts_view_member_t in the view: first live member of each zone */
     const char *collector;     /* address of the zone head that aggregates all counts; NULL: none */
@@ -46,15 +46,15 @@
     ts_time_us_t evidence_us;  /* when the timer last fired */
     uint32_t evidence_sequence; /* of the last evidence frame sent by this node */
     GHashTable *evidence_seen;  /* name of a node -> last sequence received from it */
-    GHashTable *echoes;         /* address -> acknowledgement state, owned; see peers_echo.c */
+    GHashTable *acks;           /* address -> acknowledgement state, owned; see peers_echo.c */
     ts_peers_quarantine_t *quarantine; /* see peers_quarantine.c */
     /* Homes of rate accounts; see peers_rates.c. */
-    ts_contact_t *contact;  /* detects loss of contact with a majority of the fleet */
-    bool is_out;            /* the limiter was told that this node cannot be home of any account */
-    uint64_t live_digest;   /* digest of the live members at the last change of the view */
-    size_t members_live;    /* live members at the last change of the view */
-    size_t members_most;    /* largest size of the view so far */
-    ts_time_us_t shrunk_us; /* since when the view has been smaller than that; 0: it is not */
+    ts_contact_t *contact;   /* detects loss of contact with a majority of the fleet */
+    bool is_home_ineligible; /* last state reported to the limiter: cannot be home of accounts */
+    uint64_t live_digest;    /* digest of the live members at the last change of the view */
+    size_t members_live;     /* live members at the last change of the view */
+    size_t members_max;      /* largest size of the view so far */
+    ts_time_us_t shrunk_us;  /* since when the view has been smaller than that; 0: it is not */
 };
 
 // -- peers.c
@@ -71,55 +71,55 @@
 
 // -- peers_store.c: distribution of changes from the configuration service
 void ts_peers_send_beacon(ts_peers_t *peers);
-void ts_peers_take_beacon(ts_peers_t *peers, const TsPeer__Frame *frame);
-void ts_peers_take_pull(ts_peers_t *peers, const TsPeer__Frame *frame);
-void ts_peers_take_changes(ts_peers_t *peers, const TsPeer__Changes *changes);
+void ts_peers_handle_beacon(ts_peers_t *peers, const TsPeer__Frame *frame);
+void ts_peers_handle_pull(ts_peers_t *peers, const TsPeer__Frame *frame);
+void ts_peers_handle_changes(ts_peers_t *peers, const TsPeer__Changes *changes);
 /** Handles a configuration version announced by a peer's gossip; see ANNOUNCED_DELAY_US. */
-void ts_peers_hear_config(void *context, const char *name, const char *address, uint64_t version,
-                          uint64_t digest);
+void ts_peers_handle_config_version(void *context, const char *name, const char *address,
+                                    uint64_t version, uint64_t digest);
 /** Whether this node has no entries although the service had time to respond. */
-bool ts_peers_is_in_need(const ts_peers_t *peers);
+bool ts_peers_needs_bootstrap(const ts_peers_t *peers);
 
 // -- peers_sightings.c
-void ts_peers_take_sighting(ts_peers_t *peers, TsPeer__Sighting *row);
+void ts_peers_handle_sighting(ts_peers_t *peers, TsPeer__Sighting *row);
 
 // -- peers_evidence.c
-void ts_peers_open_evidence(ts_peers_t *peers);
+void ts_peers_init_evidence(ts_peers_t *peers);
 /** Determines the zone heads and the collector from the view. */
-void ts_peers_find_collector(ts_peers_t *peers);
-void ts_peers_take_evidence(ts_peers_t *peers, const TsPeer__Frame *frame);
+void ts_peers_choose_collector(ts_peers_t *peers);
+void ts_peers_handle_evidence(ts_peers_t *peers, const TsPeer__Frame *frame);
 /** Schedules the sending of evidence. */
-void ts_peers_wake_evidence(void *ctx);
+void ts_peers_schedule_evidence(void *ctx);
 
 // -- peers_loans.c
-void ts_peers_take_loan(ts_peers_t *peers, const char *address, const TsPeer__Loan *loan);
+void ts_peers_handle_loan(ts_peers_t *peers, const char *address, const TsPeer__Loan *loan);
 
 // -- peers_echo.c
-void ts_peers_open_echoes(ts_peers_t *peers);
+void ts_peers_init_acks(ts_peers_t *peers);
 /** Numbers an outgoing frame; resets the peer's connection first if its ack is overdue. */
-void ts_peers_mark_frame(ts_peers_t *peers, const char *address, TsPeer__Frame *frame);
+void ts_peers_number_frame(ts_peers_t *peers, const char *address, TsPeer__Frame *frame);
 /** Processes the numbers of a received frame; returns whether its sender wants an ack. */
-bool ts_peers_note_frame(ts_peers_t *peers, const TsPeer__Frame *frame);
+bool ts_peers_process_ack(ts_peers_t *peers, const TsPeer__Frame *frame);
 /** Number of frames sent to a peer so far. */
 uint32_t ts_peers_frames_sent(ts_peers_t *peers, const char *address);
-void ts_peers_send_echo(ts_peers_t *peers, const char *address);
+void ts_peers_send_ack(ts_peers_t *peers, const char *address);
 /** Sends a frame that requests an acknowledgement. */
-void ts_peers_call(ts_peers_t *peers, const char *address);
+void ts_peers_send_probe(ts_peers_t *peers, const char *address);
 /** Removes the state of nodes that are not in the view. */
-void ts_peers_forget_echoes(ts_peers_t *peers);
+void ts_peers_prune_acks(ts_peers_t *peers);
 
 // -- peers_rates.c
-void ts_peers_take_rate(ts_peers_t *peers, const TsPeer__Frame *frame);
+void ts_peers_handle_rate(ts_peers_t *peers, const TsPeer__Frame *frame);
 /** Updates the limiter and contact detection after a change of the view. */
-void ts_peers_change_homes(ts_peers_t *peers);
+void ts_peers_update_homes(ts_peers_t *peers);
 /** Notifies the limiter when this node becomes able or unable to be home of accounts. */
-void ts_peers_check_standing(ts_peers_t *peers);
+void ts_peers_update_home_eligibility(ts_peers_t *peers);
 /** On each tick: probes silent zones, as a home must be in contact with a majority. */
-void ts_peers_check_contact(ts_peers_t *peers);
+void ts_peers_probe_silent_zones(ts_peers_t *peers);
 
 // -- peers_quarantine.c
-void ts_peers_open_quarantine(ts_peers_t *peers);
-void ts_peers_take_quarantine(ts_peers_t *peers, const TsPeer__Frame *frame);
+void ts_peers_init_quarantine(ts_peers_t *peers);
+void ts_peers_handle_quarantine(ts_peers_t *peers, const TsPeer__Frame *frame);
 /** On each tick: periodically compares the quarantine with other nodes. */
 void ts_peers_compare_quarantine(ts_peers_t *peers);
 
--- a/src/peers/peers_loans.c
+++ b/src/peers/peers_loans.c
@@ -1,9 +1,9 @@
-/** Loans of extra sends: a node with an exhausted retry budget borrows from other nodes. */
+/** Loans of retry budget: a node that has exhausted its own borrows from other nodes. */
 #include "peers_internal.h"
 #include "tealspar/counters.h"
 #include "tealspar/mechanism.h"
 
-/* Nodes asked per request, minimum interval of requests, and extra sends granted per reply. */
+/* Nodes asked at once, minimum interval between requests, and retries or hedges lent per reply. */
 #define LOAN_FANOUT 2U
 #define LOAN_INTERVAL_US (20 * TS_US_PER_MS)
 #define LOAN_GRANT_MAX 2U
@@ -18,7 +18,7 @@
     ts_peers_send(peers, address, &frame);
 }
 
-void ts_peers_take_loan(ts_peers_t *peers, const char *address, const TsPeer__Loan *loan)
+void ts_peers_handle_loan(ts_peers_t *peers, const char *address, const TsPeer__Loan *loan)
 {
     ts_gateway_t *gateway = peers->gateway;
     ts_service_t *service = ts_registry_find_service(gateway->registry, loan->service);
@@ -38,7 +38,7 @@
     }
 }
 
-void ts_peers_ask_loan(ts_peers_t *peers, ts_service_t *service, ts_time_us_t now_us)
+void ts_peers_request_loan(ts_peers_t *peers, ts_service_t *service, ts_time_us_t now_us)
 {
     size_t count = peers->view->count;
     size_t begin = ts_gateway_random(peers->gateway) % count;
--- a/src/peers/peers_place.c
+++ b/src/peers/peers_place.c
@@ -1,4 +1,4 @@
-/** Regions of members, and this node's rank among those that keep connections to an instance. */
+/** Regions of members, and this node's index among those that keep connections to an instance. */
 #include <string.h>
 
 #include "peers_internal.h"
@@ -26,7 +26,7 @@
 
 void ts_peers_locate_members(ts_peers_t *peers)
 {
-    peers->changes++;
+    peers->view_version++;
     g_ptr_array_set_size(peers->regions, 0);
     g_hash_table_remove_all(peers->distances);
     for (size_t i = 0; i < peers->view->count; i++) {
@@ -54,27 +54,27 @@
     return (candidate_t){is_same_region, ts_hash_mix(peers->view->members[i].id, instance)};
 }
 
-static bool ranks_before(candidate_t a, candidate_t b)
+static bool precedes(candidate_t a, candidate_t b)
 {
     return a.is_same_region != b.is_same_region ? a.is_same_region : a.weight > b.weight;
 }
 
-uint64_t ts_peers_changes(const ts_peers_t *peers)
+uint64_t ts_peers_view_version(const ts_peers_t *peers)
 {
-    return peers->changes;
+    return peers->view_version;
 }
 
-unsigned ts_peers_place(const ts_peers_t *peers, const ts_instance_t *instance)
+unsigned ts_peers_index(const ts_peers_t *peers, const ts_instance_t *instance)
 {
     const char *region = region_of(peers, instance->zone);
     uint64_t id = ts_hash_text(instance->id);
     candidate_t own = {false, 0};
-    unsigned rank = 0;
+    unsigned index = 0;
     for (size_t i = 0; i < peers->view->count; i++) {
         if (peers->view->members[i].is_self)
             own = make_candidate(peers, i, region, id);
     }
     for (size_t i = 0; i < peers->view->count; i++)
-        rank += ranks_before(make_candidate(peers, i, region, id), own);
-    return rank;
+        index += precedes(make_candidate(peers, i, region, id), own);
+    return index;
 }
--- a/src/peers/peers_quarantine.c
+++ b/src/peers/peers_quarantine.c
@@ -2,8 +2,8 @@
  * Replication of the quarantine between nodes. A node sends its own changes to the head of each
  * zone, from where they are forwarded down the zone's tree; each node forwards only rows that
  * changed its own table. Lost rows are repaired by anti-entropy: once a second, each node that has
- * suspects or blocked requests, or has just started, sends the checksum of its blocked requests to
- * a random node, and if the checksums differ both send their rows.
+ * suspects or quarantined requests, or has just started, sends the checksum of its quarantined
+ * requests to a random node, and if the checksums differ both send their rows.
  */
 #include <string.h>
 
@@ -18,7 +18,8 @@
 #define COMPARE_TICKS 4U
 /* A node that started less than this ago compares even an empty table: it may have restarted. */
 #define STARTUP_US (5 * TS_US_PER_S)
-/* Suspects sent in addition to the blocked requests when checksums differ; a row has about 60 B. */
+/* Suspects sent in addition to the quarantined requests when checksums differ; a row has about 60
+ * B. */
 #define SUSPECTS_SENT_MAX 64U
 #define ROWS_MAX 2048U
 
@@ -127,7 +128,7 @@
     ts_peers_t *peers = ctx;
     ts_peers_quarantine_t *own = peers->quarantine;
     if (g_hash_table_size(own->unsent) >= ROWS_MAX)
-        return; // the next comparison transfers blocked requests
+        return; // the next comparison transfers quarantined requests
     g_hash_table_add(own->unsent, g_memdup2(&row->digest, sizeof(row->digest)));
     if (!uv_is_active((uv_handle_t *)&own->timer))
         uv_timer_start(&own->timer, send_changes, BATCH_MS, 0);
@@ -165,7 +166,7 @@
     if (peers->ticks % COMPARE_TICKS != 0 || is_idle)
         return;
     const ts_view_member_t *near = choose_other(peers, peers->zone_order);
-    bool is_head = peers->own_place == 0;
+    bool is_head = peers->own_index == 0;
     const ts_view_member_t *far =
         is_head || near == NULL ? choose_other(peers, peers->zone_heads) : NULL;
     if (near != NULL)
@@ -211,7 +212,7 @@
     g_hash_table_unref(changed);
 }
 
-/* Sends all blocked requests and the latest suspects. */
+/* Sends all quarantined requests and the latest suspects. */
 static void send_table(ts_peers_t *peers, const char *address, bool wants_rows)
 {
     GArray *rows = collect_rows(peers, NULL, SUSPECTS_SENT_MAX);
@@ -224,7 +225,7 @@
     return sum != ts_quarantine_sum(peers->gateway->quarantine, ts_clock_now_us());
 }
 
-void ts_peers_take_quarantine(ts_peers_t *peers, const TsPeer__Frame *frame)
+void ts_peers_handle_quarantine(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     const TsPeer__Quarantine *quarantine = frame->quarantine;
     merge_rows(peers, quarantine);
@@ -234,7 +235,7 @@
         send_table(peers, frame->address, false);
 }
 
-void ts_peers_open_quarantine(ts_peers_t *peers)
+void ts_peers_init_quarantine(ts_peers_t *peers)
 {
     peers->quarantine = g_new0(ts_peers_quarantine_t, 1);
     peers->quarantine->unsent = ts_request_digest_set();
--- a/src/peers/peers_rates.c
+++ b/src/peers/peers_rates.c
@@ -24,7 +24,7 @@
     bool is_starting = ts_clock_now_us() - gateway->opened_us < STARTUP_US;
     bool has_shrunk =
         peers->shrunk_us != 0 && ts_clock_now_us() - peers->shrunk_us > SHRINK_CONFIRM_US;
-    size_t fleet = has_shrunk ? peers->view->count : peers->members_most;
+    size_t fleet = has_shrunk ? peers->view->count : peers->members_max;
     if (is_starting)
         fleet = MAX(fleet, gateway->nodes);
     return 2 * peers->view->count > fleet;
@@ -62,18 +62,19 @@
     return member->is_self ? TS_RATE_DEALER_SELF : TS_RATE_DEALER_PEER;
 }
 
-ts_rate_dealer_t ts_peers_rate_home(const ts_peers_t *peers, const char *account,
-                                    const char **address)
+ts_rate_dealer_t ts_peers_find_rate_home(const ts_peers_t *peers, const char *account,
+                                         const char **address)
 {
     const ts_view_member_t *home = find_highest_weight(peers, account, NULL);
     bool is_certain = home != NULL && is_in_majority(peers);
     if (is_certain && home->is_self)
-        is_certain = !peers->is_out && can_be_home(peers); // not before the limiter was notified
+        is_certain =
+            !peers->is_home_ineligible && can_be_home(peers); // not before the limiter was notified
     return is_certain ? issuer_of(home, address) : TS_RATE_DEALER_NONE;
 }
 
-ts_rate_dealer_t ts_peers_rate_deputy(const ts_peers_t *peers, const char *account,
-                                      const char **address)
+ts_rate_dealer_t ts_peers_find_rate_deputy(const ts_peers_t *peers, const char *account,
+                                           const char **address)
 {
     const char *zone = peers->gateway->settings->zone;
     const ts_view_member_t *home = find_highest_weight(peers, account, NULL);
@@ -92,11 +93,11 @@
     return digest;
 }
 
-void ts_peers_change_homes(ts_peers_t *peers)
+void ts_peers_update_homes(ts_peers_t *peers)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    if (peers->view->count >= peers->members_most) {
-        peers->members_most = peers->view->count;
+    if (peers->view->count >= peers->members_max) {
+        peers->members_max = peers->view->count;
         peers->shrunk_us = 0;
     } else if (peers->shrunk_us == 0) {
         peers->shrunk_us = now_us;
@@ -104,32 +105,32 @@
     ts_contact_set_view(peers->contact, peers->view);
     size_t live = ts_membership_count(peers->membership, TS_MEMBER_LIVE);
     uint64_t digest = digest_live(peers->view);
-    peers->is_out = !can_be_home(peers);
+    peers->is_home_ineligible = !can_be_home(peers);
     if (digest != peers->live_digest)
         ts_rate_limiter_change_view(peers->gateway->limiter, live < peers->members_live, now_us);
     peers->members_live = live;
     peers->live_digest = digest;
 }
 
-void ts_peers_check_standing(ts_peers_t *peers)
+void ts_peers_update_home_eligibility(ts_peers_t *peers)
 {
     bool is_out = !can_be_home(peers);
-    if (is_out == peers->is_out)
+    if (is_out == peers->is_home_ineligible)
         return;
-    peers->is_out = is_out;
+    peers->is_home_ineligible = is_out;
     ts_rate_limiter_change_view(peers->gateway->limiter, false, ts_clock_now_us());
 }
 
-void ts_peers_check_contact(ts_peers_t *peers)
+void ts_peers_probe_silent_zones(ts_peers_t *peers)
 {
     const ts_traffic_t *traffic = peers->gateway->traffic;
     ts_time_us_t now_us = ts_clock_now_us();
     const char *address = NULL;
     if (traffic == NULL || ts_tenants_count(traffic->tenants) == 0)
         return; // without tenants there are no accounts
-    while ((address = ts_contact_next_call(peers->contact, now_us)) != NULL)
-        ts_peers_call(peers, address);
-    ts_peers_check_standing(peers);
+    while ((address = ts_contact_next_probe(peers->contact, now_us)) != NULL)
+        ts_peers_send_probe(peers, address);
+    ts_peers_update_home_eligibility(peers);
 }
 
 static uint32_t to_thousandths(double rate)
@@ -137,7 +138,7 @@
     return (uint32_t)MIN(rate * MILLI, UINT32_MAX);
 }
 
-void ts_peers_ask_rate(ts_peers_t *peers, const char *address, const ts_rate_row_t *row)
+void ts_peers_send_rate_claim(ts_peers_t *peers, const char *address, const ts_rate_row_t *row)
 {
     TsPeer__Rate rate = TS_PEER__RATE__INIT;
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
@@ -159,7 +160,7 @@
     ts_peers_send(peers, address, &frame);
 }
 
-void ts_peers_answer_rate(ts_peers_t *peers, const char *address, const ts_rate_row_t *row)
+void ts_peers_send_rate_grant(ts_peers_t *peers, const char *address, const ts_rate_row_t *row)
 {
     TsPeer__Rate rate = TS_PEER__RATE__INIT;
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
@@ -179,7 +180,7 @@
     ts_peers_send(peers, address, &frame);
 }
 
-void ts_peers_take_rate(ts_peers_t *peers, const TsPeer__Frame *frame)
+void ts_peers_handle_rate(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     const TsPeer__Rate *rate = frame->rate;
     ts_rate_limiter_t *limiter = peers->gateway->limiter;
--- a/src/peers/peers_sightings.c
+++ b/src/peers/peers_sightings.c
@@ -50,24 +50,24 @@
     g_hash_table_unref(zones_sent);
 }
 
-void ts_peers_take_sighting(ts_peers_t *peers, TsPeer__Sighting *row)
+void ts_peers_handle_sighting(ts_peers_t *peers, TsPeer__Sighting *row)
 {
-    ts_life_t life = {row->instance, row->born_ms};
-    ts_instance_t *instance = ts_registry_find(peers->gateway->registry, life);
-    ts_sighting_t sighting = row->suspected ? TS_SIGHTING_SUSPECTED : TS_SIGHTING_ANSWERS;
+    ts_instance_key_t key = {row->instance, row->born_ms};
+    ts_instance_t *instance = ts_registry_find(peers->gateway->registry, key);
+    ts_sighting_t sighting = row->suspected ? TS_SIGHTING_SUSPECTED : TS_SIGHTING_RECOVERED;
     if (instance != NULL)
-        ts_instance_hear(instance, sighting, ts_clock_now_us());
+        ts_instance_apply_sighting(instance, sighting, ts_clock_now_us());
     if (row->relay) {
         row->relay = false;
         send_sighting(peers, row);
     }
 }
 
-void ts_peers_tell(ts_peers_t *peers, ts_life_t life, ts_sighting_t sighting)
+void ts_peers_broadcast_sighting(ts_peers_t *peers, ts_instance_key_t key, ts_sighting_t sighting)
 {
     TsPeer__Sighting row = TS_PEER__SIGHTING__INIT;
-    row.instance = (char *)life.id;
-    row.born_ms = life.born_ms;
+    row.instance = (char *)key.id;
+    row.born_ms = key.born_ms;
     row.suspected = sighting == TS_SIGHTING_SUSPECTED;
     send_sighting(peers, &row);
     send_to_region(peers, &row);
--- a/src/peers/peers_store.c
+++ b/src/peers/peers_store.c
@@ -39,8 +39,8 @@
     beacon.revision = position.revision;
     beacon.age_ms = age_ms(peers);
     frame.beacon = &beacon;
-    peers->passed_on_us = ts_store_mirror_confirmed_us(peers->mirror);
-    peers->passed_on = position;
+    peers->beacon_confirmed_us = ts_store_mirror_confirmed_us(peers->mirror);
+    peers->beacon_position = position;
     ts_peers_send_to_children(peers, &frame);
 }
 
@@ -127,7 +127,7 @@
     }
 }
 
-bool ts_peers_is_in_need(const ts_peers_t *peers)
+bool ts_peers_needs_bootstrap(const ts_peers_t *peers)
 {
     return ts_store_mirror_is_empty(peers->mirror) &&
            ts_clock_now_us() - peers->gateway->opened_us > RANDOM_PULL_AFTER_US;
@@ -138,20 +138,20 @@
 {
     ts_time_us_t confirmed_us = ts_store_mirror_confirmed_us(peers->mirror);
     ts_store_position_t position = ts_store_mirror_position(peers->mirror);
-    bool is_new = ts_store_position_compare(position, peers->passed_on) > 0 ||
-                  confirmed_us > peers->passed_on_us + BEACON_MIN_ADVANCE_US;
+    bool is_new = ts_store_position_compare(position, peers->beacon_position) > 0 ||
+                  confirmed_us > peers->beacon_confirmed_us + BEACON_MIN_ADVANCE_US;
     if (is_new && !ts_peers_is_watcher(peers)) {
         ts_peers_send_beacon(peers);
     }
 }
 
-void ts_peers_take_beacon(ts_peers_t *peers, const TsPeer__Frame *frame)
+void ts_peers_handle_beacon(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     ts_store_position_t own = ts_store_mirror_position(peers->mirror);
     ts_store_position_t announced_position = {frame->beacon->epoch, frame->beacon->revision};
     int order = ts_store_position_compare(announced_position, own);
     if (!ts_store_mirror_is_primed(peers->mirror)) {
-        if (ts_peers_is_in_need(peers)) {
+        if (ts_peers_needs_bootstrap(peers)) {
             pull_from(peers, frame->address, position_zero);
         }
     } else if (order > 0) {
@@ -163,7 +163,7 @@
     }
 }
 
-void ts_peers_take_pull(ts_peers_t *peers, const TsPeer__Frame *frame)
+void ts_peers_handle_pull(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     const ts_store_position_t after = {frame->pull->epoch, frame->pull->after};
     if (ts_store_mirror_is_primed(peers->mirror)) {
@@ -189,7 +189,7 @@
     return entries;
 }
 
-void ts_peers_take_changes(ts_peers_t *peers, const TsPeer__Changes *changes)
+void ts_peers_handle_changes(ts_peers_t *peers, const TsPeer__Changes *changes)
 {
     ts_store_position_t before = ts_store_mirror_position(peers->mirror);
     ts_store_list_t list = {.position = {changes->epoch, changes->revision},
@@ -219,15 +219,15 @@
 static bool is_overdue(ts_peers_t *peers, uint64_t version)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    if (version > peers->heard_version) {
-        peers->heard_version = version;
-        peers->heard_us = now_us;
+    if (version > peers->announced_version) {
+        peers->announced_version = version;
+        peers->announced_version_us = now_us;
     }
-    return now_us - peers->heard_us > ANNOUNCED_DELAY_US;
+    return now_us - peers->announced_version_us > ANNOUNCED_DELAY_US;
 }
 
-void ts_peers_hear_config(void *context, const char *name, const char *address, uint64_t version,
-                          uint64_t digest)
+void ts_peers_handle_config_version(void *context, const char *name, const char *address,
+                                    uint64_t version, uint64_t digest)
 {
     ts_peers_t *peers = context;
     const ts_traffic_t *traffic = peers->gateway->traffic;
@@ -242,12 +242,12 @@
 
 /* -- Following the service -------------------------------------------------------------------- */
 
-bool ts_peers_is_relied_on(const ts_peers_t *peers)
+bool ts_peers_has_followers(const ts_peers_t *peers)
 {
     return peers->zone_order->len > 1 && ts_peers_is_watcher(peers);
 }
 
-bool ts_peers_may_be_told(const ts_peers_t *peers)
+bool ts_peers_is_follower(const ts_peers_t *peers)
 {
     return !ts_peers_is_watcher(peers);
 }
@@ -273,13 +273,13 @@
 /* A random node other than this one, alternately of this zone and of any zone. */
 static const ts_view_member_t *choose_pull_target(ts_peers_t *peers)
 {
-    bool in_zone = peers->asked_times++ % 2 == 0 && peers->zone_order->len > 1;
+    bool in_zone = peers->random_pulls++ % 2 == 0 && peers->zone_order->len > 1;
     size_t count = in_zone ? peers->zone_order->len : peers->view->count;
     size_t begin = ts_gateway_random(peers->gateway) % count;
     for (size_t i = 0; i < count; i++) {
-        size_t place = (begin + i) % count;
+        size_t index = (begin + i) % count;
         const ts_view_member_t *member =
-            in_zone ? g_ptr_array_index(peers->zone_order, place) : &peers->view->members[place];
+            in_zone ? g_ptr_array_index(peers->zone_order, index) : &peers->view->members[index];
         if (!member->is_self) {
             return member;
         }
@@ -287,15 +287,15 @@
     return NULL;
 }
 
-void ts_peers_ask_around(ts_peers_t *peers)
+void ts_peers_pull_from_random(ts_peers_t *peers)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    if (now_us - peers->asked_us < RANDOM_PULL_INTERVAL_US) {
+    if (now_us - peers->random_pull_us < RANDOM_PULL_INTERVAL_US) {
         return;
     }
     const ts_view_member_t *member = choose_pull_target(peers);
     if (member != NULL) {
-        peers->asked_us = now_us;
+        peers->random_pull_us = now_us;
         bool is_primed = ts_store_mirror_is_primed(peers->mirror);
         send_pull(peers, member->address,
                   is_primed ? ts_store_mirror_position(peers->mirror) : position_zero);
--- a/src/registry/instance_fate.c
+++ b/src/registry/instance_fate.c
@@ -8,9 +8,9 @@
 /* An instance that neither accepts nor refuses connections for this long counts as ended. */
 #define LIVENESS_TIMEOUT_US TS_US_PER_S
 
-void ts_instance_note_reached(ts_instance_t *instance, ts_time_us_t begun_us)
+void ts_instance_note_connected(ts_instance_t *instance, ts_time_us_t begun_us)
 {
-    instance->reached_us = MAX(instance->reached_us, begun_us);
+    instance->connect_begun_us = MAX(instance->connect_begun_us, begun_us);
 }
 
 void ts_instance_note_ended(ts_instance_t *instance)
@@ -23,12 +23,12 @@
            instance->id, instance->born_ms, instance->service->name, instance->zone);
 }
 
-ts_instance_fate_t ts_instance_fate(const ts_instance_t *instance, ts_time_us_t since_us,
-                                    ts_time_us_t now_us)
+ts_instance_liveness_t ts_instance_liveness(const ts_instance_t *instance, ts_time_us_t since_us,
+                                            ts_time_us_t now_us)
 {
     if (instance->has_ended)
-        return TS_FATE_ENDED;
-    if (instance->reached_us != 0 && instance->reached_us >= since_us)
-        return TS_FATE_LIVES;
-    return now_us - since_us > LIVENESS_TIMEOUT_US ? TS_FATE_ENDED : TS_FATE_UNKNOWN;
+        return TS_LIVENESS_ENDED;
+    if (instance->connect_begun_us != 0 && instance->connect_begun_us >= since_us)
+        return TS_LIVENESS_ALIVE;
+    return now_us - since_us > LIVENESS_TIMEOUT_US ? TS_LIVENESS_ENDED : TS_LIVENESS_UNKNOWN;
 }
--- a/src/registry/instance_health.c
+++ b/src/registry/instance_health.c
@@ -49,14 +49,14 @@
         return;
     double present = instance->limit > 0 ? instance->limit : instance->in_flight;
     instance->limit = MAX(present * factor, LIMIT_MIN);
-    instance->limited_us = now_us;
+    instance->limit_lowered_us = now_us;
 }
 
 static void adapt_limit(ts_instance_t *instance, ts_time_us_t now_us, double span_us,
                         double typical_us)
 {
     double settled_us = LIMIT_SETTLE_RATIO * typical_us;
-    bool is_settled = (double)(now_us - instance->limited_us) > settled_us;
+    bool is_settled = (double)(now_us - instance->limit_lowered_us) > settled_us;
     if (span_us > OVERLOADED_RATIO * typical_us) {
         if (is_settled && instance->in_flight > 1) {
             lower_limit(instance, LIMIT_DECREASE, now_us);
@@ -81,16 +81,16 @@
     ts_evidence_count_add(&instance->outbox, count);
     ts_evidence_sums_t known = ts_instance_evidence(instance, now_us);
     if (instance->outbox.has_sign || ts_evidence_is_unusual(&known))
-        ts_registry_wake(instance);
+        ts_registry_notify_evidence(instance);
 }
 
 static void note_evidence(ts_instance_t *instance, const ts_evidence_count_t *count,
                           ts_time_us_t now_us)
 {
-    ts_evidence_note(&instance->own, count, now_us);
-    instance->own_us = now_us;
+    ts_evidence_note(&instance->own_evidence, count, now_us);
+    instance->own_evidence_us = now_us;
     if (count->has_sign)
-        instance->own_sign_us = now_us;
+        instance->own_anomaly_us = now_us;
     if (ts_mechanism_is_on(TS_MECHANISM_MERGED))
         ts_instance_add_to_outbox(instance, count, now_us);
 }
@@ -123,9 +123,9 @@
 {
     if (!ts_mechanism_is_on(TS_MECHANISM_SIGHTINGS))
         return;
-    ts_sighting_t sighting = is_suspected ? TS_SIGHTING_SUSPECTED : TS_SIGHTING_ANSWERS;
+    ts_sighting_t sighting = is_suspected ? TS_SIGHTING_SUSPECTED : TS_SIGHTING_RECOVERED;
     if (should_report(instance))
-        ts_registry_tell(instance, sighting);
+        ts_registry_report_sighting(instance, sighting);
 }
 
 void ts_instance_note_answer(ts_instance_t *instance, ts_time_us_t now_us, double span_us,
@@ -138,14 +138,14 @@
         ts_log(TS_EVENT_BACKEND_SUSPECT, "instance=%s state=answers after_ms=%lu", instance->id,
                (unsigned long)((now_us - instance->suspected_us) / TS_US_PER_MS));
         instance->suspected_us = 0;
-        if (instance->is_suspicion_told)
+        if (instance->is_suspicion_reported)
             report_suspicion(instance, false);
-        instance->is_suspicion_told = false;
+        instance->is_suspicion_reported = false;
     }
     if (typical_us > 0) {
         add_latency(instance, span_us / typical_us, now_us);
         if (span_us < QUEUE_FULL_RATIO * typical_us)
-            instance->usual_us = now_us;
+            instance->normal_answer_us = now_us;
         adapt_limit(instance, now_us, span_us, typical_us);
     }
 }
@@ -167,19 +167,19 @@
     }
     instance->suspected_us = now_us;
     instance->is_suspected_by_peer = false;
-    instance->tried_us = now_us;
-    instance->is_suspicion_told = false;
+    instance->suspect_sent_us = now_us;
+    instance->is_suspicion_reported = false;
     ts_count(TS_COUNTER_INSTANCES_SUSPECTED, 1);
     ts_log(TS_EVENT_BACKEND_SUSPECT, "instance=%s state=suspected overdue_ms=%lu", instance->id,
            (unsigned long)((now_us - sent_us) / TS_US_PER_MS));
 }
 
-void ts_instance_tell_overdue(ts_instance_t *instance)
+void ts_instance_report_suspicion(ts_instance_t *instance)
 {
     bool is_own = instance->suspected_us != 0 && !instance->is_suspected_by_peer;
-    if (!is_own || instance->is_suspicion_told)
+    if (!is_own || instance->is_suspicion_reported)
         return;
-    instance->is_suspicion_told = true;
+    instance->is_suspicion_reported = true;
     report_suspicion(instance, true);
 }
 
@@ -191,16 +191,17 @@
         return;
     instance->suspected_us = now_us;
     instance->is_suspected_by_peer = true;
-    instance->tried_us = now_us;
+    instance->suspect_sent_us = now_us;
 }
 
-void ts_instance_hear(ts_instance_t *instance, ts_sighting_t sighting, ts_time_us_t now_us)
+void ts_instance_apply_sighting(ts_instance_t *instance, ts_sighting_t sighting,
+                                ts_time_us_t now_us)
 {
     switch (sighting) {
     case TS_SIGHTING_SUSPECTED:
         apply_peer_suspicion(instance, now_us);
         break;
-    case TS_SIGHTING_ANSWERS:
+    case TS_SIGHTING_RECOVERED:
         if (instance->is_suspected_by_peer)
             instance->suspected_us = 0;
         instance->is_suspected_by_peer = false;
@@ -208,7 +209,7 @@
     }
 }
 
-void ts_instance_note_verdict(ts_instance_t *instance, bool is_failure, ts_time_us_t now_us)
+void ts_instance_note_result(ts_instance_t *instance, bool is_failure, ts_time_us_t now_us)
 {
     ts_evidence_count_t count = {0};
     ts_evidence_count_verdict(&count, is_failure);
@@ -228,9 +229,10 @@
  */
 static bool is_refusing_with_capacity(const ts_instance_t *instance, ts_time_us_t now_us)
 {
-    if (instance->told.told_us != 0)
-        return ts_told_load_is_idle(&instance->told);
-    return instance->usual_us != 0 && now_us - instance->usual_us < NORMAL_ANSWER_VALID_US;
+    if (instance->reported_load.told_us != 0)
+        return ts_told_load_is_idle(&instance->reported_load);
+    return instance->normal_answer_us != 0 &&
+           now_us - instance->normal_answer_us < NORMAL_ANSWER_VALID_US;
 }
 
 void ts_instance_note_refusal(ts_instance_t *instance, ts_time_us_t now_us)
@@ -239,32 +241,32 @@
     instance->avoid_until_us = now_us + AVOID_REFUSED_US;
     /* A refusal consumes retry budget like a failure, so it counts as one here. */
     if (is_refusing_with_capacity(instance, now_us))
-        ts_instance_note_verdict(instance, true, now_us);
-    if (!ts_told_load_is_idle(&instance->told))
+        ts_instance_note_result(instance, true, now_us);
+    if (!ts_told_load_is_idle(&instance->reported_load))
         lower_limit(instance, LIMIT_DECREASE_REFUSED, now_us);
 }
 
-void ts_instance_note_forgotten(ts_instance_t *instance, ts_time_us_t idle_us, ts_time_us_t now_us)
+void ts_instance_note_idle_reset(ts_instance_t *instance, ts_time_us_t idle_us, ts_time_us_t now_us)
 {
     if (idle_us < IDLE_RESET_MIN_US || !ts_mechanism_is_on(TS_MECHANISM_FORGOTTEN))
         return;
     ts_time_us_t idle_max_us = (ts_time_us_t)(IDLE_RESET_SAFETY_FACTOR * (double)idle_us);
-    bool is_new = now_us >= instance->rest_max_until_us;
-    if (is_new || idle_max_us < instance->rest_max_us)
-        instance->rest_max_us = idle_max_us;
-    instance->rest_max_until_us = now_us + IDLE_MAX_VALID_US;
+    bool is_new = now_us >= instance->idle_max_until_us;
+    if (is_new || idle_max_us < instance->idle_max_us)
+        instance->idle_max_us = idle_max_us;
+    instance->idle_max_until_us = now_us + IDLE_MAX_VALID_US;
     if (is_new)
         ts_log(TS_EVENT_BACKEND_STATE, "instance=%s service=%s zone=%s state=forgets rest_ms=%lu",
                instance->id, instance->service->name, instance->zone,
                (unsigned long)(idle_us / TS_US_PER_MS));
 }
 
-ts_time_us_t ts_instance_rest_max_us(const ts_instance_t *instance, ts_time_us_t now_us)
+ts_time_us_t ts_instance_idle_max_us(const ts_instance_t *instance, ts_time_us_t now_us)
 {
-    return now_us < instance->rest_max_until_us ? instance->rest_max_us : UINT64_MAX;
+    return now_us < instance->idle_max_until_us ? instance->idle_max_us : UINT64_MAX;
 }
 
-void ts_instance_note_turned_away(ts_instance_t *instance, ts_time_us_t now_us)
+void ts_instance_note_connection_rejected(ts_instance_t *instance, ts_time_us_t now_us)
 {
     instance->avoid_until_us = now_us + AVOID_REFUSED_US;
     lower_limit(instance, LIMIT_DECREASE_REFUSED, now_us);
--- a/src/registry/registry.c
+++ b/src/registry/registry.c
@@ -24,7 +24,7 @@
     GHashTable *evacuated; /**< set of zones that are being evacuated */
     double rtt_min_us;
     double rtt_max_us;
-    ts_registry_seen_t seen;
+    ts_registry_sighting_t seen;
     void *seen_ctx;
     ts_registry_evidence_t wake;
     void *wake_ctx;
@@ -53,7 +53,7 @@
     g_queue_clear(&instance->idle);
     g_free(instance->id);
     g_free(instance->zone);
-    g_free(instance->collected);
+    g_free(instance->collected_evidence);
     g_free(instance);
 }
 
@@ -91,7 +91,7 @@
     return g_hash_table_lookup(registry->services, name);
 }
 
-ts_service_t *ts_registry_service(ts_registry_t *registry, const char *name)
+ts_service_t *ts_registry_ensure_service(ts_registry_t *registry, const char *name)
 {
     ts_service_t *service = g_hash_table_lookup(registry->services, name);
     if (service == NULL) {
@@ -145,21 +145,21 @@
     return rtt;
 }
 
-void ts_registry_note_travel(ts_registry_t *registry, const ts_instance_t *instance,
-                             ts_time_us_t span_us)
+void ts_registry_add_rtt_sample(ts_registry_t *registry, const ts_instance_t *instance,
+                                ts_time_us_t span_us)
 {
     if (!ts_mechanism_is_on(TS_MECHANISM_TRAVEL))
         return;
-    ts_travel_note(instance->travel, span_us);
+    ts_travel_note(instance->rtt, span_us);
     update_rtt_bounds(registry);
 }
 
-double ts_registry_travel_least_us(const ts_registry_t *registry)
+double ts_registry_rtt_min_us(const ts_registry_t *registry)
 {
     return registry->rtt_min_us;
 }
 
-double ts_registry_travel_most_us(const ts_registry_t *registry)
+double ts_registry_rtt_max_us(const ts_registry_t *registry)
 {
     return registry->rtt_max_us;
 }
@@ -181,9 +181,9 @@
     instance->zone = g_strdup(record->zone);
     update_location(registry, instance);
     instance->is_evacuated = ts_registry_is_evacuated(registry, record->zone);
-    instance->travel = find_or_add_rtt(registry, record->zone, instance->distance);
+    instance->rtt = find_or_add_rtt(registry, record->zone, instance->distance);
     g_queue_init(&instance->idle);
-    instance->service = ts_registry_service(registry, record->service);
+    instance->service = ts_registry_ensure_service(registry, record->service);
     g_ptr_array_add(instance->service->instances, instance);
     g_hash_table_insert(registry->instances, instance->id, instance);
     return instance;
@@ -226,7 +226,7 @@
     return length > 0 && length <= ID_LENGTH_MAX;
 }
 
-ts_error_t ts_registry_check(const ts_instance_record_t *record)
+ts_error_t ts_registry_validate(const ts_instance_record_t *record)
 {
     struct sockaddr_storage address;
     if (!is_valid_header_value(record->id) || record->service[0] == '\0' || record->zone[0] == '\0')
@@ -322,7 +322,7 @@
     }
 }
 
-void ts_registry_relocate(ts_registry_t *registry)
+void ts_registry_update_locations(ts_registry_t *registry)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -378,29 +378,29 @@
     }
 }
 
-ts_instance_t *ts_registry_find(const ts_registry_t *registry, ts_life_t life)
+ts_instance_t *ts_registry_find(const ts_registry_t *registry, ts_instance_key_t key)
 {
-    ts_instance_t *instance = g_hash_table_lookup(registry->instances, life.id);
-    return instance != NULL && instance->born_ms == life.born_ms ? instance : NULL;
+    ts_instance_t *instance = g_hash_table_lookup(registry->instances, key.id);
+    return instance != NULL && instance->born_ms == key.born_ms ? instance : NULL;
 }
 
-ts_instance_t *ts_registry_present(const ts_registry_t *registry, const char *id)
+ts_instance_t *ts_registry_find_current(const ts_registry_t *registry, const char *id)
 {
     return g_hash_table_lookup(registry->instances, id);
 }
 
-ts_life_t ts_instance_life(const ts_instance_t *instance)
+ts_instance_key_t ts_instance_key_of(const ts_instance_t *instance)
 {
-    return (ts_life_t){instance->id, instance->born_ms};
+    return (ts_instance_key_t){instance->id, instance->born_ms};
 }
 
-void ts_registry_on_sighting(ts_registry_t *registry, ts_registry_seen_t seen, void *ctx)
+void ts_registry_on_sighting(ts_registry_t *registry, ts_registry_sighting_t seen, void *ctx)
 {
     registry->seen = seen;
     registry->seen_ctx = ctx;
 }
 
-void ts_registry_tell(const ts_instance_t *instance, ts_sighting_t sighting)
+void ts_registry_report_sighting(const ts_instance_t *instance, ts_sighting_t sighting)
 {
     const ts_registry_t *registry = instance->service->registry;
     if (registry->seen != NULL)
@@ -413,7 +413,7 @@
     registry->wake_ctx = ctx;
 }
 
-void ts_registry_wake(const ts_instance_t *instance)
+void ts_registry_notify_evidence(const ts_instance_t *instance)
 {
     const ts_registry_t *registry = instance->service->registry;
     if (registry->wake != NULL)
@@ -436,7 +436,7 @@
     g_hash_table_foreach(registry->services, visit, context);
 }
 
-unsigned ts_registry_listed(const ts_registry_t *registry)
+unsigned ts_registry_count_listed(const ts_registry_t *registry)
 {
     GHashTableIter iterator;
     gpointer instance = NULL;
--- a/src/route/replica.c
+++ b/src/route/replica.c
@@ -67,7 +67,7 @@
 
 static bool is_due_for_trial(const ts_instance_t *instance, ts_time_us_t now_us)
 {
-    return now_us - instance->tried_us > RETRY_SUSPECTED_US;
+    return now_us - instance->suspect_sent_us > RETRY_SUSPECTED_US;
 }
 
 double ts_replica_cost(const ts_instance_t *instance, const ts_replica_input_t *input)
@@ -76,7 +76,7 @@
     if (instance->warm_at_us > input->now_us) {
         work_us *= WARMUP_FACTOR;
     }
-    double cost_us = ts_travel_us(instance->travel) + work_us * (1 + queue_factor(instance));
+    double cost_us = ts_travel_us(instance->rtt) + work_us * (1 + queue_factor(instance));
     cost_us += ts_instance_failing(instance, input->now_us) * FAILED_COST_RATIO * input->work_us;
     if (instance->suspected_us != 0 && !is_due_for_trial(instance, input->now_us)) {
         cost_us += SUSPECTED_COST_US;
@@ -92,7 +92,7 @@
 
 bool ts_replica_is_full(const ts_instance_t *instance, const ts_replica_input_t *input)
 {
-    bool is_bound = ts_instance_is_cold_bound(instance, input->now_us);
+    bool is_bound = ts_instance_is_warmup_limited(instance, input->now_us);
     if (is_bound && !ts_cold_window_has_room(&instance->cold, input->now_us))
         return true;
     /* Whatever was learned, the nodes together may fill the instance's slots and queue as much. */
@@ -134,7 +134,7 @@
         }
     }
     if (best != NULL && best->suspected_us != 0) {
-        best->tried_us = input->now_us;
+        best->suspect_sent_us = input->now_us;
     }
     return best;
 }
--- a/src/route/slowness.c
+++ b/src/route/slowness.c
@@ -4,8 +4,8 @@
 
 ts_evidence_sums_t ts_instance_evidence(const ts_instance_t *instance, ts_time_us_t now_us)
 {
-    ts_evidence_sums_t own = ts_evidence_sums(&instance->own, now_us);
-    ts_evidence_sums_t heard = ts_evidence_sums(&instance->heard, now_us);
+    ts_evidence_sums_t own = ts_evidence_sums(&instance->own_evidence, now_us);
+    ts_evidence_sums_t heard = ts_evidence_sums(&instance->fleet_evidence, now_us);
     return ts_evidence_join(&own, &heard);
 }
 
@@ -21,7 +21,7 @@
     return ts_mechanism_is_on(TS_MECHANISM_FAILING) ? ts_evidence_failing(&known) : 0;
 }
 
-bool ts_instance_is_cold_bound(const ts_instance_t *instance, ts_time_us_t now_us)
+bool ts_instance_is_warmup_limited(const ts_instance_t *instance, ts_time_us_t now_us)
 {
     return instance->service->warmup_rate > 0 && instance->warm_at_us > now_us;
 }
--- a/src/upstream/instance_check.c
+++ b/src/upstream/instance_check.c
@@ -54,7 +54,7 @@
     if (check->is_ending)
         return;
     if (status == 0)
-        ts_instance_note_reached(check->instance, check->begun_us);
+        ts_instance_note_connected(check->instance, check->begun_us);
     else if (status == UV_ECONNREFUSED)
         ts_instance_note_ended(check->instance);
     end_check(check);
--- a/src/upstream/upstream.c
+++ b/src/upstream/upstream.c
@@ -117,7 +117,7 @@
         return;
     ts_error_t error = dialect->read_load(text, &load);
     load.told_us = error == TS_OK ? now_us : 0;
-    exchange->instance->told = load;
+    exchange->instance->reported_load = load;
     if (error != TS_OK)
         ts_count_error(error);
 }
@@ -134,7 +134,7 @@
         take_load(exchange, result->answer, now_us);
     if (result->error == TS_OK && result->run == TS_RUN_DONE) {
         bool is_failure = result->answer->parser.status_code >= STATUS_SERVER_ERROR;
-        ts_instance_note_verdict(exchange->instance, is_failure, now_us);
+        ts_instance_note_result(exchange->instance, is_failure, now_us);
         ts_instance_note_answer(exchange->instance, now_us, (double)result->span_us,
                                 is_failure || exchange->is_untimed ? 0 : exchange->typical_us);
     } else if (result->error == TS_OK) {
@@ -158,9 +158,9 @@
     if (exchange->sent_us == 0 || !is_prompt || connection->answer.has_begun)
         return; /* it was at work, or had begun to answer */
     if (connection->rested_us == 0)
-        ts_instance_note_turned_away(connection->instance, now_us);
+        ts_instance_note_connection_rejected(connection->instance, now_us);
     else
-        ts_instance_note_forgotten(connection->instance, connection->rest_taken_us, now_us);
+        ts_instance_note_idle_reset(connection->instance, connection->rest_taken_us, now_us);
 }
 
 /* Tells of a send that the end of its connection broke off. */
@@ -183,7 +183,7 @@
 {
     ts_connection_t *connection = exchange->connection;
     if (exchange->sent_us != 0)
-        ts_instance_note_verdict(exchange->instance, true, ts_clock_now_us());
+        ts_instance_note_result(exchange->instance, true, ts_clock_now_us());
     ts_run_t run = exchange->sent_us == 0 ? TS_RUN_NOT : TS_RUN_MAYBE;
     ts_exchange_result_t result = {.error = error, .run = run};
     ts_count(TS_COUNTER_SEND_FAILURES, 1);
@@ -384,9 +384,9 @@
     }
     begin_reading(connection);
     if (exchange != NULL) {
-        ts_instance_note_reached(connection->instance, exchange->begun_us);
-        ts_registry_note_travel(connection->instance->service->registry, connection->instance,
-                                ts_clock_now_us() - exchange->begun_us);
+        ts_instance_note_connected(connection->instance, exchange->begun_us);
+        ts_registry_add_rtt_sample(connection->instance->service->registry, connection->instance,
+                                   ts_clock_now_us() - exchange->begun_us);
         write_request(connection);
     }
 }
@@ -415,7 +415,7 @@
     while (instance->idle.length > 0) {
         ts_connection_t *connection = instance->idle.head->data;
         ts_time_us_t rest_us = now_us - connection->rested_us;
-        ts_time_us_t most_us = ts_instance_rest_max_us(instance, now_us);
+        ts_time_us_t most_us = ts_instance_idle_max_us(instance, now_us);
         if (rest_us > MIN(connection->rest_us, most_us)) {
             close_connection(connection);
             continue;
--- a/tests/gateway/test_callers.c
+++ b/tests/gateway/test_callers.c
@@ -143,7 +143,7 @@
     ts_gateway_set_settings(&world->gateway,
                             ts_gateway_settings_load(settings, strlen(settings), &problems));
     world_add_searcher(world, "i-2", "a", "z2");
-    const ts_instance_t *instance = ts_registry_present(world->gateway.registry, "i-2");
+    const ts_instance_t *instance = ts_registry_find_current(world->gateway.registry, "i-2");
     assert_non_null(instance);
     assert_int_equal(instance->distance, TS_DISTANCE_REGION);
     unsigned status = 0;
--- a/tests/gateway/test_forwarding.c
+++ b/tests/gateway/test_forwarding.c
@@ -89,7 +89,7 @@
     const char *signature = ts_http_message_find(&visit->answer, "X-Server-Stamp");
     assert_true(g_str_has_prefix(signature, "sig.i-2."));
     assert_true(second->runs == 1);
-    const ts_instance_t *failed = ts_registry_present(world->gateway.registry, "i-1");
+    const ts_instance_t *failed = ts_registry_find_current(world->gateway.registry, "i-1");
     assert_true((ts_instance_failing(failed, ts_clock_now_us()) > 0.2) == is_failure);
 }
 
--- a/tests/gateway/test_gathering.c
+++ b/tests/gateway/test_gathering.c
@@ -116,7 +116,7 @@
 {
     shards_t shards = open_shards_with("retry_ratio: 0\nretry_slack: 240", least);
     const ts_gateway_t *gateway = &shards.world->gateway;
-    ts_retry_budget_t *budget = &ts_registry_service(gateway->registry, "a")->budget;
+    ts_retry_budget_t *budget = &ts_registry_ensure_service(gateway->registry, "a")->budget;
     unsigned status = 0;
     while (!ts_retry_budget_is_low(budget, &gateway->rule, ts_clock_now_us()))
         assert_true(ts_retry_budget_take(budget, &gateway->rule, ts_clock_now_us()));
@@ -142,8 +142,9 @@
     visit_get(shards.world, "/g/x", "r1", 1400, &status);
     assert_int_equal(status, 200);
     const ts_registry_t *registry = shards.world->gateway.registry;
-    double near = ts_instance_slowness(ts_registry_present(registry, "n-b"), ts_clock_now_us());
-    double far = ts_instance_slowness(ts_registry_present(registry, "f-b"), ts_clock_now_us());
+    double near =
+        ts_instance_slowness(ts_registry_find_current(registry, "n-b"), ts_clock_now_us());
+    double far = ts_instance_slowness(ts_registry_find_current(registry, "f-b"), ts_clock_now_us());
     assert_true(MAX(near, far) > 1.3);
 }
 
--- a/tests/gateway/test_peers.c
+++ b/tests/gateway/test_peers.c
@@ -39,7 +39,7 @@
 static ts_gateway_t *watcher_of(const fleet_t *fleet)
 {
     for (int i = 0; i < 3; i++) {
-        if (ts_peers_is_relied_on(fleet->nodes[i]->peers)) {
+        if (ts_peers_has_followers(fleet->nodes[i]->peers)) {
             return fleet->nodes[i];
         }
     }
@@ -98,7 +98,7 @@
     beacon.revision = revision;
     frame.beacon = &beacon;
     frame.address = address;
-    ts_peers_take_beacon(peers, &frame);
+    ts_peers_handle_beacon(peers, &frame);
 }
 
 static void give_changes(ts_peers_t *peers, uint64_t epoch, uint64_t revision)
@@ -106,7 +106,7 @@
     TsPeer__Changes changes = TS_PEER__CHANGES__INIT;
     changes.epoch = epoch;
     changes.revision = revision;
-    ts_peers_take_changes(peers, &changes);
+    ts_peers_handle_changes(peers, &changes);
 }
 
 /* What is announced while changes are on their way is asked for as soon as they are in. */
@@ -140,13 +140,13 @@
     char far[32];
     g_snprintf(near, sizeof(near), "127.0.0.1:%u", fleet.ports[NODES - 1]);
     g_snprintf(far, sizeof(far), "127.0.0.1:%u", fleet.ports[0]);
-    ts_peers_hear_config(peers, "n0", far, 2, 0);
+    ts_peers_handle_config_version(peers, "n0", far, 2, 0);
     assert_true(peers->pulled_us == 0);
-    peers->heard_us -= TS_US_PER_S;
-    ts_peers_hear_config(peers, "n0", far, 2, 0);
+    peers->announced_version_us -= TS_US_PER_S;
+    ts_peers_handle_config_version(peers, "n0", far, 2, 0);
     assert_true(peers->pulled_us != 0);
     peers->pulled_us = 0;
-    ts_peers_hear_config(peers, "n3", near, 3, 0);
+    ts_peers_handle_config_version(peers, "n3", near, 3, 0);
     assert_true(peers->pulled_us != 0);
 }
 
@@ -207,14 +207,14 @@
 static void test_suspicion_is_shared_in_the_zone(void **state)
 {
     fleet_t fleet = open_fleet();
-    ts_instance_t *own = ts_registry_present(fleet.nodes[0]->registry, "i-1");
-    ts_instance_t *theirs = ts_registry_present(fleet.nodes[1]->registry, "i-1");
-    ts_instance_t *far = ts_registry_present(fleet.nodes[3]->registry, "i-1");
+    ts_instance_t *own = ts_registry_find_current(fleet.nodes[0]->registry, "i-1");
+    ts_instance_t *theirs = ts_registry_find_current(fleet.nodes[1]->registry, "i-1");
+    ts_instance_t *far = ts_registry_find_current(fleet.nodes[3]->registry, "i-1");
     ts_time_us_t now_us = ts_clock_now_us();
     ts_instance_note_overdue(own, now_us - 50 * TS_US_PER_MS, now_us);
     world_run_ms(fleet.world, 100);
     assert_true(theirs->suspected_us == 0); /* most late answers come soon: not told yet */
-    ts_instance_tell_overdue(own);
+    ts_instance_report_suspicion(own);
     for (int i = 0; i < 100 && theirs->suspected_us == 0; i++) {
         world_run_ms(fleet.world, 5);
     }
@@ -231,7 +231,7 @@
 
 static ts_instance_t *instance_at(const fleet_t *fleet, int node)
 {
-    return ts_registry_present(fleet->nodes[node]->registry, "i-1");
+    return ts_registry_find_current(fleet->nodes[node]->registry, "i-1");
 }
 
 static int find_collector(const fleet_t *fleet)
@@ -261,7 +261,7 @@
 static void note_failures(const fleet_t *fleet, int node, int count)
 {
     for (int i = 0; i < count; i++)
-        ts_instance_note_verdict(instance_at(fleet, node), true, ts_clock_now_us());
+        ts_instance_note_result(instance_at(fleet, node), true, ts_clock_now_us());
 }
 
 /* What one node meets is known in all zones; none of the others has sent anything yet. */
@@ -283,7 +283,7 @@
     assert_true(await_failing(&fleet, 0, 0.65)); // 2 of its own alone: 0.4
     for (int i = 0; i < 30; i++) {
         for (int node = 0; node < NODES; node++)
-            ts_instance_note_verdict(instance_at(&fleet, node), false, ts_clock_now_us());
+            ts_instance_note_result(instance_at(&fleet, node), false, ts_clock_now_us());
         world_run_ms(fleet.world, 20);
     }
     assert_false(ts_instance_failing(instance_at(&fleet, 0), ts_clock_now_us()) > 0.25);
@@ -320,12 +320,12 @@
     evidence.n_rows = 1;
     frame.name = "somebody";
     frame.evidence = &evidence;
-    ts_peers_take_evidence(peers, &frame);
+    ts_peers_handle_evidence(peers, &frame);
 }
 
 static void give_sums(ts_peers_t *peers, uint32_t sequence, float failures)
 {
-    ts_instance_t *instance = ts_registry_present(peers->gateway->registry, "i-1");
+    ts_instance_t *instance = ts_registry_find_current(peers->gateway->registry, "i-1");
     give_sums_of(peers, instance->born_ms, sequence, failures);
 }
 
@@ -383,13 +383,13 @@
         for (int i = 0; i < MORE; i++) {
             char id[8];
             g_snprintf(id, sizeof(id), "j-%d", i);
-            ts_instance_t *instance = ts_registry_present(fleet.nodes[sender]->registry, id);
+            ts_instance_t *instance = ts_registry_find_current(fleet.nodes[sender]->registry, id);
             ts_instance_note_answer(instance, ts_clock_now_us(), 200000, 10000);
         }
         world_run_ms(fleet.world, 110);
     }
-    const ts_instance_t *own = ts_registry_present(fleet.nodes[sender]->registry, "j-0");
-    const ts_instance_t *theirs = ts_registry_present(fleet.nodes[3]->registry, "j-0");
+    const ts_instance_t *own = ts_registry_find_current(fleet.nodes[sender]->registry, "j-0");
+    const ts_instance_t *theirs = ts_registry_find_current(fleet.nodes[3]->registry, "j-0");
     assert_true(ts_instance_slowness(own, ts_clock_now_us()) > 2);
     assert_true(ts_instance_slowness(theirs, ts_clock_now_us()) < 1.1);
 }
@@ -411,10 +411,10 @@
         g_snprintf(id, sizeof(id), "j-%d", i);
         int sender = (head + 1 + i % 2) % 3;
         for (int j = 0; j < 6; j++)
-            ts_instance_note_verdict(ts_registry_present(fleet.nodes[sender]->registry, id), true,
-                                     ts_clock_now_us());
+            ts_instance_note_result(ts_registry_find_current(fleet.nodes[sender]->registry, id),
+                                    true, ts_clock_now_us());
     }
-    const ts_instance_t *theirs = ts_registry_present(fleet.nodes[3]->registry, "j-0");
+    const ts_instance_t *theirs = ts_registry_find_current(fleet.nodes[3]->registry, "j-0");
     for (int i = 0; i < 100 && ts_instance_failing(theirs, ts_clock_now_us()) < 0.4; i++)
         world_run_ms(fleet.world, 10);
     assert_true(ts_instance_failing(theirs, ts_clock_now_us()) > 0.4);
@@ -456,8 +456,9 @@
     unsigned seen = 0;
     for (int i = 0; i < NODES; i++) {
         const ts_gateway_t *node = fleet.nodes[i];
-        unsigned near = ts_peers_place(node->peers, ts_registry_present(node->registry, "i-1"));
-        unsigned far = ts_peers_place(node->peers, ts_registry_present(node->registry, "i-2"));
+        unsigned near =
+            ts_peers_index(node->peers, ts_registry_find_current(node->registry, "i-1"));
+        unsigned far = ts_peers_index(node->peers, ts_registry_find_current(node->registry, "i-2"));
         seen |= 1U << near;
         assert_true(i < 3 ? near < 3 : near == 3); /* three nodes stand in the region of i-1 */
         assert_true(i < 3 ? far > 0 : far == 0);
--- a/tests/gateway/test_quotas.c
+++ b/tests/gateway/test_quotas.c
@@ -142,7 +142,7 @@
 {
     const char *address = NULL;
     for (unsigned i = 0; i < NODES; i++) {
-        ts_rate_dealer_t home = ts_peers_rate_home(fleet->nodes[i]->peers, "red", &address);
+        ts_rate_dealer_t home = ts_peers_find_rate_home(fleet->nodes[i]->peers, "red", &address);
         assert_true(home != TS_RATE_DEALER_NONE);
         if (home == TS_RATE_DEALER_SELF)
             return i;
@@ -180,7 +180,7 @@
     assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 1, 200), 1);
     world_run_ms(fleet.world, 4000);
     const char *address = NULL;
-    ts_rate_dealer_t now = ts_peers_rate_home(fleet.nodes[other]->peers, "red", &address);
+    ts_rate_dealer_t now = ts_peers_find_rate_home(fleet.nodes[other]->peers, "red", &address);
     assert_true(now != TS_RATE_DEALER_NONE);
     assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 6, 200), 6);
 }
@@ -200,7 +200,7 @@
     assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 1, 200), 1);
     world_run_ms(fleet.world, 4000);
     const char *address = NULL;
-    ts_rate_dealer_t now = ts_peers_rate_home(fleet.nodes[other]->peers, "red", &address);
+    ts_rate_dealer_t now = ts_peers_find_rate_home(fleet.nodes[other]->peers, "red", &address);
     assert_true(now != TS_RATE_DEALER_NONE);
     assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 6, 200), 6);
 }
@@ -279,12 +279,12 @@
     for (unsigned i = 0; i < NODES; i++)
         ts_peers_set_mute(fleet.nodes[i]->peers, i != home); // it hears nobody
     world_run_ms(fleet.world, 2500);
-    assert_int_equal(ts_peers_rate_home(fleet.nodes[home]->peers, "red", &address),
+    assert_int_equal(ts_peers_find_rate_home(fleet.nodes[home]->peers, "red", &address),
                      TS_RATE_DEALER_NONE);
     for (unsigned i = 0; i < NODES; i++)
         ts_peers_set_mute(fleet.nodes[i]->peers, false);
     world_run_ms(fleet.world, 1500);
-    assert_int_equal(ts_peers_rate_home(fleet.nodes[home]->peers, "red", &address),
+    assert_int_equal(ts_peers_find_rate_home(fleet.nodes[home]->peers, "red", &address),
                      TS_RATE_DEALER_SELF);
 }
 
@@ -298,7 +298,7 @@
     for (int i = 0; i < 1500 && ts_peers_count(fleet.nodes[0]->peers) > 1; i++)
         world_run_ms(fleet.world, 10); // until they are declared dead
     assert_int_equal(ts_peers_count(fleet.nodes[0]->peers), 1);
-    assert_int_equal(ts_peers_rate_home(fleet.nodes[0]->peers, "red", &address),
+    assert_int_equal(ts_peers_find_rate_home(fleet.nodes[0]->peers, "red", &address),
                      TS_RATE_DEALER_NONE);
     unsigned served = count_answers(fleet.world, &fleet.callers[0], 1, 12, 200);
     assert_true(served <= 2); // what it had in hand, and the first that it may spend by itself
--- a/tests/gateway/test_store_epochs.c
+++ b/tests/gateway/test_store_epochs.c
@@ -57,7 +57,7 @@
 
 static bool is_listed(const ts_gateway_t *gateway, const char *id)
 {
-    const ts_instance_t *instance = ts_registry_present(gateway->registry, id);
+    const ts_instance_t *instance = ts_registry_find_current(gateway->registry, id);
     return instance != NULL && instance->is_listed;
 }
 
@@ -130,7 +130,7 @@
     lab_store_restore(world->store, NULL, NULL);
     put_version(world, 9);
     assert_true(have_version(world, &world->gateway, 9));
-    assert_int_equal(ts_registry_listed(world->gateway.registry), 41);
+    assert_int_equal(ts_registry_count_listed(world->gateway.registry), 41);
 }
 
 /* Answers of an epoch that is over, or of none, change nothing and are not asked for in haste. */
@@ -183,7 +183,7 @@
 static void await_draining(world_t *world, const ts_gateway_t *gateway, const char *id)
 {
     for (unsigned waited = 0; waited < 2 * APPLY_MS; waited += 20) {
-        if (ts_registry_present(gateway->registry, id)->is_draining)
+        if (ts_registry_find_current(gateway->registry, id)->is_draining)
             return;
         world_run_ms(world, 20);
     }
@@ -204,7 +204,7 @@
     world_run_ms(world, 2000);
     assert_int_equal(ts_store_mirror_position(pair.cut->mirror).epoch,
                      ts_store_mirror_position(pair.reader->mirror).epoch);
-    assert_true(ts_registry_present(pair.cut->registry, "i-1")->is_draining);
+    assert_true(ts_registry_find_current(pair.cut->registry, "i-1")->is_draining);
     put_version(world, 9);
     assert_true(have_version(world, pair.cut, 9));
     lab_store_delete(world->store, "servers/i-1");
@@ -227,12 +227,12 @@
     frame.beacon = &beacon;
     frame.address = address;
     peers->pulled_us = 0;
-    ts_peers_take_beacon(peers, &frame);
+    ts_peers_handle_beacon(peers, &frame);
     assert_true(peers->pulled_us == 0);
     TsPeer__Changes changes = TS_PEER__CHANGES__INIT;
     changes.revision = 1000;
     changes.is_whole = true;
-    ts_peers_take_changes(peers, &changes);
+    ts_peers_handle_changes(peers, &changes);
     assert_true(is_listed(peers->gateway, "i-1"));
     assert_true(ts_store_mirror_position(peers->mirror).revision < 1000);
 }
--- a/tests/gateway/test_store_restore.c
+++ b/tests/gateway/test_store_restore.c
@@ -123,7 +123,7 @@
 static void assert_listed(const fleet_t *fleet, const char *id, bool is_listed)
 {
     for (int i = 0; i < NODES; i++) {
-        const ts_instance_t *instance = ts_registry_present(fleet->nodes[i]->registry, id);
+        const ts_instance_t *instance = ts_registry_find_current(fleet->nodes[i]->registry, id);
         assert_int_equal(instance != NULL && instance->is_listed, is_listed);
     }
 }
@@ -131,7 +131,7 @@
 static void assert_draining(const fleet_t *fleet, const char *id)
 {
     for (int i = 0; i < NODES; i++)
-        assert_true(ts_registry_present(fleet->nodes[i]->registry, id)->is_draining);
+        assert_true(ts_registry_find_current(fleet->nodes[i]->registry, id)->is_draining);
 }
 
 static void assert_evacuated(const fleet_t *fleet, const char *zone, bool is_evacuated)
@@ -252,7 +252,8 @@
     assert_draining(&fleet, "i-1");
     assert_listed(&fleet, "i-2", false);
     for (int i = 0; i < NODES; i++)
-        assert_int_equal(ts_registry_present(fleet.nodes[i]->registry, "i-restarted")->born_ms, 2);
+        assert_int_equal(ts_registry_find_current(fleet.nodes[i]->registry, "i-restarted")->born_ms,
+                         2);
     put_searcher(&fleet, "i-1", "draining", 1);
     put_searcher(&fleet, "i-restarted", "ready", 2);
     lab_store_delete(fleet.store, "servers/i-2");
@@ -260,7 +261,8 @@
     assert_draining(&fleet, "i-1");
     assert_listed(&fleet, "i-2", false);
     for (int i = 0; i < NODES; i++)
-        assert_int_equal(ts_registry_present(fleet.nodes[i]->registry, "i-restarted")->born_ms, 2);
+        assert_int_equal(ts_registry_find_current(fleet.nodes[i]->registry, "i-restarted")->born_ms,
+                         2);
 }
 
 static void test_evacuations_stand_until_the_operator_writes_again(void **state)
--- a/tests/gateway/test_store_watch.c
+++ b/tests/gateway/test_store_watch.c
@@ -20,7 +20,7 @@
         g_free(key);
     }
     world_configure(world, 3, ROUTE_A);
-    assert_int_equal(ts_registry_listed(world->gateway.registry), 5);
+    assert_int_equal(ts_registry_count_listed(world->gateway.registry), 5);
     assert_int_equal(world->gateway.traffic->version, 3);
 }
 
@@ -31,7 +31,7 @@
     world_add_searcher(world, "i-2", "a", "z1");
     lab_store_delete(world->store, "servers/i-1");
     world_await_listed(world, 1);
-    assert_int_equal(ts_registry_listed(world->gateway.registry), 1);
+    assert_int_equal(ts_registry_count_listed(world->gateway.registry), 1);
 }
 
 static void test_forgotten_history(void **state)
@@ -48,7 +48,7 @@
     lab_store_forget(world->store);
     world_await_version(world, 9);
     assert_int_equal(world->gateway.traffic->version, 9);
-    assert_int_equal(ts_registry_listed(world->gateway.registry), 1);
+    assert_int_equal(ts_registry_count_listed(world->gateway.registry), 1);
 }
 
 static void test_older_version_is_ignored(void **state)
@@ -160,11 +160,11 @@
     lab_store_put(world->store, "servers/i-0", "{\"service\":7}");
     lab_store_put(world->store, "servers/i-2 x", "not to be read");
     (void)world_add_searcher(world, "i-3", "a", "z1"); // comes after these, and is known
-    assert_int_equal(ts_registry_listed(world->gateway.registry), 2);
+    assert_int_equal(ts_registry_count_listed(world->gateway.registry), 2);
     lab_store_put(world->store, "servers/i-1", "{\"state\":\"resting\"}");
     world_await_listed(world, 1);
-    assert_false(ts_registry_present(world->gateway.registry, "i-1")->is_listed);
-    assert_true(ts_registry_present(world->gateway.registry, "i-3")->is_listed);
+    assert_false(ts_registry_find_current(world->gateway.registry, "i-1")->is_listed);
+    assert_true(ts_registry_find_current(world->gateway.registry, "i-3")->is_listed);
 }
 
 int main(void)
--- a/tests/gateway/world.c
+++ b/tests/gateway/world.c
@@ -82,7 +82,7 @@
 {
     for (int i = 0; i < WAIT_MS / 10; i++) {
         if (gateway->traffic != NULL && gateway->traffic->version >= version &&
-            ts_registry_listed(gateway->registry) == listed) {
+            ts_registry_count_listed(gateway->registry) == listed) {
             return true;
         }
         world_run_ms(world, 10);
@@ -132,13 +132,13 @@
                                    const char *zone)
 {
     lab_searcher_t *searcher = world_enter_searcher(world, id, service, zone);
-    world_await_listed(world, ts_registry_listed(world->gateway.registry) + 1);
+    world_await_listed(world, ts_registry_count_listed(world->gateway.registry) + 1);
     return searcher;
 }
 
 void world_enter_existing(world_t *world, const lab_searcher_t *searcher)
 {
-    unsigned listed = ts_registry_listed(world->gateway.registry);
+    unsigned listed = ts_registry_count_listed(world->gateway.registry);
     enter(world, searcher, false);
     world_await_listed(world, listed + 1);
 }
@@ -146,7 +146,7 @@
 void world_await_listed(world_t *world, unsigned listed)
 {
     for (int i = 0; i < WAIT_MS / 10; i++) {
-        if (ts_registry_listed(world->gateway.registry) == listed) {
+        if (ts_registry_count_listed(world->gateway.registry) == listed) {
             return;
         }
         world_run_ms(world, 10);
--- a/tests/peers/test_contact.c
+++ b/tests/peers/test_contact.c
@@ -31,23 +31,23 @@
     return contact;
 }
 
-static void hear_zones(ts_contact_t *contact, unsigned zones, ts_time_us_t now_us)
+static void note_replies_from_zones(ts_contact_t *contact, unsigned zones, ts_time_us_t now_us)
 {
     for (unsigned i = 0; i < zones; i++) {
         char *address = make_address(ZONES + i);
-        ts_contact_note(contact, address, now_us);
+        ts_contact_note_reply(contact, address, now_us);
         g_free(address);
     }
 }
 
-static void test_majority_counts_members_of_heard_zones(void **state)
+static void test_majority_counts_members_of_reachable_zones(void **state)
 {
     ts_contact_t *contact = open_contact();
     assert_false(ts_contact_has_majority(contact, START_US));
-    hear_zones(contact, 2, START_US); // two others of its own zone and three of another one: six
-                                      // including itself, no majority
+    note_replies_from_zones(contact, 2, START_US); // two others of its own zone and three of
+                                                   // another one: six including itself, no majority
     assert_false(ts_contact_has_majority(contact, START_US));
-    hear_zones(contact, 3, START_US);
+    note_replies_from_zones(contact, 3, START_US);
     assert_true(ts_contact_has_majority(contact, START_US));
     assert_true(ts_contact_has_majority(contact, START_US + 1900 * TS_US_PER_MS));
     assert_false(ts_contact_has_majority(contact, START_US + 2 * TS_US_PER_S));
@@ -58,14 +58,14 @@
 {
     ts_contact_t *contact = ts_contact_create(7);
     assert_true(ts_contact_has_majority(contact, START_US));
-    assert_null(ts_contact_next_call(contact, START_US));
+    assert_null(ts_contact_next_probe(contact, START_US));
     ts_contact_free(contact);
 }
 
 static unsigned count_probes(ts_contact_t *contact, ts_time_us_t now_us)
 {
     unsigned probes = 0;
-    while (ts_contact_next_call(contact, now_us) != NULL)
+    while (ts_contact_next_probe(contact, now_us) != NULL)
         probes++;
     return probes;
 }
@@ -74,12 +74,12 @@
 static void test_silent_zones_are_probed(void **state)
 {
     ts_contact_t *contact = open_contact();
-    hear_zones(contact, 3, START_US);
-    char *first = g_strdup(ts_contact_next_call(contact, START_US));
-    assert_non_null(first); // in the zone that was never heard
+    note_replies_from_zones(contact, 3, START_US);
+    char *first = g_strdup(ts_contact_next_probe(contact, START_US));
+    assert_non_null(first); // in the zone that never replied
     assert_int_equal(count_probes(contact, START_US), 0);
     assert_int_equal(count_probes(contact, START_US + 300 * TS_US_PER_MS), 0);
-    const char *second = ts_contact_next_call(contact, START_US + 500 * TS_US_PER_MS);
+    const char *second = ts_contact_next_probe(contact, START_US + 500 * TS_US_PER_MS);
     assert_string_not_equal(first, second);
     assert_int_equal(count_probes(contact, START_US + 1000 * TS_US_PER_MS), ZONES);
     g_free(first);
@@ -89,7 +89,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_majority_counts_members_of_heard_zones),
+        cmocka_unit_test(test_majority_counts_members_of_reachable_zones),
         cmocka_unit_test(test_single_node_has_majority),
         cmocka_unit_test(test_silent_zones_are_probed),
     };
--- a/tests/registry/test_lives.c
+++ b/tests/registry/test_lives.c
@@ -18,12 +18,12 @@
                                    .slots = 4};
     (void)ts_registry_update(registry, &record, NOW_US);
     ts_instance_record_clear(&record);
-    return ts_registry_present(registry, "i-1");
+    return ts_registry_find_current(registry, "i-1");
 }
 
 static guint count_candidates(ts_registry_t *registry)
 {
-    return ts_registry_service(registry, "s")->instances->len;
+    return ts_registry_ensure_service(registry, "s")->instances->len;
 }
 
 /* Nothing learned about one incarnation is applied to the next. */
@@ -34,16 +34,16 @@
     first->in_flight = 1;
     first->limit = 2;
     first->suspected_us = NOW_US;
-    ts_instance_note_verdict(first, true, NOW_US);
+    ts_instance_note_result(first, true, NOW_US);
     ts_instance_t *second = update_instance(registry, 2000, "10.0.0.1:80");
     assert_ptr_not_equal(first, second);
     assert_true(second->is_listed && !first->is_listed);
     assert_true(second->limit == 0 && second->suspected_us == 0 && second->in_flight == 0);
     assert_true(ts_instance_failing(second, NOW_US) < ts_instance_failing(first, NOW_US));
-    assert_int_equal(ts_instance_fate(first, NOW_US, NOW_US), TS_FATE_ENDED);
-    assert_int_equal(ts_instance_fate(second, NOW_US, NOW_US), TS_FATE_UNKNOWN);
+    assert_int_equal(ts_instance_liveness(first, NOW_US, NOW_US), TS_LIVENESS_ENDED);
+    assert_int_equal(ts_instance_liveness(second, NOW_US, NOW_US), TS_LIVENESS_UNKNOWN);
     assert_int_equal(count_candidates(registry), 1); // never the ended one
-    assert_int_equal(ts_registry_listed(registry), 1);
+    assert_int_equal(ts_registry_count_listed(registry), 1);
     ts_registry_destroy(registry);
 }
 
@@ -51,12 +51,12 @@
 static void test_incarnations_are_distinguished(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", NULL);
-    const ts_life_t first = {"i-1", 1000};
-    const ts_life_t second = {"i-1", 2000};
+    const ts_instance_key_t first = {"i-1", 1000};
+    const ts_instance_key_t second = {"i-1", 2000};
     ts_instance_t *instance = update_instance(registry, 1000, "10.0.0.1:80");
     assert_ptr_equal(ts_registry_find(registry, first), instance);
     assert_null(ts_registry_find(registry, second));
-    assert_int_equal(ts_instance_life(instance).born_ms, 1000);
+    assert_int_equal(ts_instance_key_of(instance).born_ms, 1000);
     instance = update_instance(registry, 2000, "10.0.0.1:80");
     assert_null(ts_registry_find(registry, first));
     assert_ptr_equal(ts_registry_find(registry, second), instance);
@@ -134,17 +134,17 @@
     for (size_t i = 0; i < G_N_ELEMENTS(ids); i++) {
         ts_instance_record_t record = {
             .id = (char *)ids[i], .service = "s", .address = "10.0.0.1:80", .zone = "z1"};
-        assert_int_equal(ts_registry_check(&record), TS_E_INVALID);
+        assert_int_equal(ts_registry_validate(&record), TS_E_INVALID);
     }
     const char *const addresses[] = {"", "10.0.0.1", "10.0.0.1:0", "10.0.0.1:65536", "host:80"};
     for (size_t i = 0; i < G_N_ELEMENTS(addresses); i++) {
         ts_instance_record_t record = {
             .id = "i-1", .service = "s", .address = (char *)addresses[i], .zone = "z1"};
-        assert_int_equal(ts_registry_check(&record), TS_E_ADDRESS);
+        assert_int_equal(ts_registry_validate(&record), TS_E_ADDRESS);
     }
     ts_instance_record_t no_service = {
         .id = "i-1", .service = "", .address = "10.0.0.1:80", .zone = "z1"};
-    assert_int_equal(ts_registry_check(&no_service), TS_E_INVALID);
+    assert_int_equal(ts_registry_validate(&no_service), TS_E_INVALID);
 }
 
 int main(void)
--- a/tests/route/test_gateway_decisions.c
+++ b/tests/route/test_gateway_decisions.c
@@ -169,7 +169,7 @@
                                    g_strdup(zone), 4, false,         0};
     ts_registry_update(registry, &record, 1);
     ts_instance_record_clear(&record);
-    ts_service_t *service = ts_registry_service(registry, "s");
+    ts_service_t *service = ts_registry_ensure_service(registry, "s");
     return g_ptr_array_index(service->instances, service->instances->len - 1);
 }
 
@@ -185,7 +185,7 @@
 static ts_instance_t *choose(ts_registry_t *registry, ts_time_us_t now_us)
 {
     ts_replica_input_t input = {20000, now_us, 2000 * MS, 20, 4, 17, NULL};
-    return ts_replica_choose(ts_registry_service(registry, "s"), &input, NULL, 0);
+    return ts_replica_choose(ts_registry_ensure_service(registry, "s"), &input, NULL, 0);
 }
 
 static void test_replica_prefers_near_and_free(void **state)
@@ -211,15 +211,15 @@
     ts_instance_t *next = add(registry, "next", "z2");
     ts_instance_t *far = add(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
-    assert_true(ts_registry_travel_most_us(registry) < 30 * MS);
+    assert_true(ts_registry_rtt_max_us(registry) < 30 * MS);
     for (int i = 0; i < 200; i++) {
-        ts_registry_note_travel(registry, near, i % 5 == 0 ? 40 * MS : MS / 2);
-        ts_registry_note_travel(registry, next, i % 5 == 0 ? 90 * MS : 60 * MS);
-        ts_registry_note_travel(registry, far, 10 * MS);
+        ts_registry_add_rtt_sample(registry, near, i % 5 == 0 ? 40 * MS : MS / 2);
+        ts_registry_add_rtt_sample(registry, next, i % 5 == 0 ? 90 * MS : 60 * MS);
+        ts_registry_add_rtt_sample(registry, far, 10 * MS);
     }
-    assert_true(ts_registry_travel_least_us(registry) < MS);
-    assert_true(ts_travel_us(next->travel) > 50 * MS && ts_travel_us(next->travel) < 70 * MS);
-    assert_true(ts_registry_travel_most_us(registry) > 50 * MS);
+    assert_true(ts_registry_rtt_min_us(registry) < MS);
+    assert_true(ts_travel_us(next->rtt) > 50 * MS && ts_travel_us(next->rtt) < 70 * MS);
+    assert_true(ts_registry_rtt_max_us(registry) > 50 * MS);
     near->in_flight = 12;
     assert_ptr_equal(choose(registry, now_us), far); // the zone of the same region is further
 }
@@ -232,8 +232,8 @@
     ts_instance_t *far = add(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     for (int i = 0; i < 6; i++) {
-        ts_instance_note_verdict(near, i % 2 == 0, now_us);
-        ts_instance_note_verdict(far, false, now_us);
+        ts_instance_note_result(near, i % 2 == 0, now_us);
+        ts_instance_note_result(far, false, now_us);
     }
     assert_ptr_equal(choose(registry, now_us), far);
     assert_ptr_equal(choose(registry, now_us + 20 * TS_US_PER_S), near);
@@ -246,7 +246,7 @@
     ts_instance_t *near = add(registry, "near", "z1");
     ts_instance_t *far = add(registry, "far", "z3");
     ts_instance_t *stray = add(registry, "stray", "z9"); /* of a zone that no setting names */
-    ts_service_t *service = ts_registry_service(registry, "s");
+    ts_service_t *service = ts_registry_ensure_service(registry, "s");
     GPtrArray *regions = g_ptr_array_new();
     g_ptr_array_add(regions, (gpointer)g_intern_string("r2"));
     ts_replica_input_t input = {20000, 100 * TS_US_PER_S, 2000 * MS, 20, 4, 17, regions};
@@ -270,8 +270,8 @@
     ts_instance_t *near = add(registry, "near", "z1");
     ts_instance_t *far = add(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
-    ts_registry_service(registry, "s")->warmup_us = 3 * TS_US_PER_S;
-    ts_registry_service(registry, "s")->warmup_rate = 10;
+    ts_registry_ensure_service(registry, "s")->warmup_us = 3 * TS_US_PER_S;
+    ts_registry_ensure_service(registry, "s")->warmup_rate = 10;
     ts_registry_set_evacuated(registry, "z1", true, now_us);
     assert_ptr_equal(choose(registry, now_us), far);
     const ts_instance_t *late = add(registry, "late", "z1");
@@ -374,11 +374,11 @@
     ts_registry_t *registry = ts_registry_create("z1", two_regions());
     ts_instance_t *near = add(registry, "near", "z1");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
-    near->told = (ts_told_load_t){4, 12, 4, now_us};
+    near->reported_load = (ts_told_load_t){4, 12, 4, now_us};
     ts_instance_note_refusal(near, now_us);
     assert_true(ts_instance_failing(near, now_us) == 0);
     double limit = near->limit;
-    near->told = (ts_told_load_t){1, 0, 4, now_us};
+    near->reported_load = (ts_told_load_t){1, 0, 4, now_us};
     ts_instance_note_refusal(near, now_us);
     assert_true(ts_instance_failing(near, now_us) > 0.2);
     assert_true(near->limit == limit);                 /* it could take more */
@@ -499,7 +499,7 @@
     assert_ptr_equal(choose(registry, now_us + 100 * MS), near); /* the last that is left */
     assert_null(choose(registry, now_us + 2100 * MS));
     ts_registry_sweep(registry, now_us + 11 * TS_US_PER_S);
-    assert_int_equal(ts_registry_service(registry, "s")->instances->len, 0);
+    assert_int_equal(ts_registry_ensure_service(registry, "s")->instances->len, 0);
 }
 
 /* A request that waits for long may still name whom it asked (a crash on the bench, fresh-ab50). */
@@ -510,10 +510,10 @@
     near->references = 1;
     ts_registry_remove(registry, "near", TS_US_PER_S);
     ts_registry_sweep(registry, 20 * TS_US_PER_S);
-    assert_ptr_equal(ts_registry_present(registry, "near"), near);
+    assert_ptr_equal(ts_registry_find_current(registry, "near"), near);
     near->references = 0;
     ts_registry_sweep(registry, 20 * TS_US_PER_S);
-    assert_null(ts_registry_present(registry, "near"));
+    assert_null(ts_registry_find_current(registry, "near"));
 }
 
 /* What all nodes keep together stays within two thirds of the limit, and nothing of that is lost.
--- a/tests/scripted/run_script.c
+++ b/tests/scripted/run_script.c
@@ -284,7 +284,7 @@
 
 static void borrow(script_t *s, char **words, guint n)
 {
-    ts_service_t *service = ts_registry_service(s->world->gateway.registry, words[1]);
+    ts_service_t *service = ts_registry_ensure_service(s->world->gateway.registry, words[1]);
     ts_retry_budget_borrow(&service->budget, (uint32_t)atoi(words[2]), ts_clock_now_us());
 }
 
