--- a/include/tealspar/peer_link.h
+++ b/include/tealspar/peer_link.h
@@ -23,7 +23,7 @@
 ts_peer_link_t *ts_peer_link_open(uv_loop_t *loop, const char *address, ts_peer_received_t received,
                                   void *context);
 /** Sets the callback for ended connections; it runs on the loop with the link's context. */
-void ts_peer_link_on_disconnect(ts_peer_link_t *link, ts_peer_disconnected_t lost);
+void ts_peer_link_on_disconnect(ts_peer_link_t *link, ts_peer_disconnected_t disconnected);
 /** Sets the number of messages queued per peer (default 64); call before the first send. */
 void ts_peer_link_set_buffer(ts_peer_link_t *link, unsigned messages);
 /** Sends a message, or drops one when the queue of the peer is full. Never blocks. */
--- a/include/tealspar/registry.h
+++ b/include/tealspar/registry.h
@@ -79,9 +79,8 @@
     ts_time_us_t suspect_sent_us;  /**< last request sent to it while suspected */
     ts_time_us_t avoid_until_us;   /**< end of the pause after a failed connection or a refusal */
     uint32_t failures;             /**< consecutive */
-    ts_time_us_t
-        connect_begun_us; /**< when the last successful connection was begun; 0: none yet */
-    bool has_ended;       /**< its process is gone: connections refused, or it was replaced */
+    ts_time_us_t connect_begun_us; /**< begin of the last successful connection; 0: none yet */
+    bool has_ended; /**< its process is gone: connections refused, or it was replaced */
     /* Failures and latencies of its answers, see tealspar/evidence.h. */
     ts_evidence_t own_evidence;   /**< answers to this node's requests */
     ts_evidence_t fleet_evidence; /**< answers to the whole fleet's, received from the collector */
@@ -176,10 +175,10 @@
 /** Called with observations to be shared with other nodes. */
 typedef void (*ts_registry_sighting_t)(void *ctx, const ts_instance_t *instance,
                                        ts_sighting_t sighting);
-void ts_registry_on_sighting(ts_registry_t *registry, ts_registry_sighting_t seen, void *ctx);
+void ts_registry_on_sighting(ts_registry_t *registry, ts_registry_sighting_t callback, void *ctx);
 /** Called when an instance's outbox holds something to be forwarded; may be called repeatedly. */
 typedef void (*ts_registry_evidence_t)(void *ctx);
-void ts_registry_on_evidence(ts_registry_t *registry, ts_registry_evidence_t wake, void *ctx);
+void ts_registry_on_evidence(ts_registry_t *registry, ts_registry_evidence_t callback, void *ctx);
 /** Calls `visit(instance, context)` for every instance, including earlier incarnations. */
 typedef void (*ts_registry_visit_t)(ts_instance_t *instance, void *context);
 void ts_registry_each_instance(ts_registry_t *registry, ts_registry_visit_t visit, void *context);
@@ -236,10 +235,10 @@
 /** Records a failed connection or request; the instance is avoided for a while. */
 void ts_instance_note_failure(ts_instance_t *instance, ts_time_us_t now_us);
 /**
- * Records that a connection idle for `rest_us` was reset at the next request: the instance drops
+ * Records that a connection idle for `idle_us` was reset at the next request: the instance drops
  * idle connections sooner than it announces.
  */
-void ts_instance_note_idle_reset(ts_instance_t *instance, ts_time_us_t rest_us,
+void ts_instance_note_idle_reset(ts_instance_t *instance, ts_time_us_t idle_us,
                                  ts_time_us_t now_us);
 /** Longest time that a connection to it may be idle before reuse; UINT64_MAX: no limit learned. */
 ts_time_us_t ts_instance_idle_max_us(const ts_instance_t *instance, ts_time_us_t now_us);
--- a/src/peers/contact.c
+++ b/src/peers/contact.c
@@ -14,7 +14,7 @@
 typedef struct zone {
     char *name;
     GPtrArray *addresses; /* of its members except this node; owned strings */
-    ts_time_us_t heard_us;
+    ts_time_us_t replied_us;
     ts_time_us_t probed_us;
     guint next; /* index of the member to probe; advances after an unanswered probe */
 } zone_t;
@@ -87,7 +87,7 @@
 {
     zone_t *zone = g_hash_table_lookup(contact->zone_by_address, address);
     if (zone != NULL)
-        zone->heard_us = now_us;
+        zone->replied_us = now_us;
 }
 
 bool ts_contact_has_majority(const ts_contact_t *contact, ts_time_us_t now_us)
@@ -95,7 +95,7 @@
     size_t reachable = 1; // this node
     for (guint i = 0; i < contact->zones->len; i++) {
         const zone_t *zone = g_ptr_array_index(contact->zones, i);
-        if (zone->heard_us != 0 && now_us - zone->heard_us < REACHABLE_TIMEOUT_US)
+        if (zone->replied_us != 0 && now_us - zone->replied_us < REACHABLE_TIMEOUT_US)
             reachable += zone->addresses->len;
     }
     return 2 * reachable > contact->members;
@@ -105,11 +105,11 @@
 {
     for (guint i = 0; i < contact->zones->len; i++) {
         zone_t *zone = g_ptr_array_index(contact->zones, i);
-        bool is_silent = now_us - zone->heard_us > PROBE_AFTER_US;
+        bool is_silent = now_us - zone->replied_us > PROBE_AFTER_US;
         bool is_probed = zone->probed_us != 0 && now_us - zone->probed_us < PROBE_INTERVAL_US;
         if (zone->addresses->len == 0 || !is_silent || is_probed)
             continue;
-        if (zone->probed_us > zone->heard_us)
+        if (zone->probed_us > zone->replied_us)
             zone->next++;
         zone->probed_us = now_us;
         return g_ptr_array_index(zone->addresses, zone->next % zone->addresses->len);
--- a/src/peers/peer_link.c
+++ b/src/peers/peer_link.c
@@ -84,7 +84,7 @@
     uint32_t last_dial;
     unsigned buffer; /* see BUFFER_MESSAGES */
     ts_peer_received_t received;
-    ts_peer_disconnected_t lost; /* may be NULL */
+    ts_peer_disconnected_t disconnected; /* may be NULL */
     void *context;
 };
 
@@ -192,7 +192,7 @@
 /* -- Sending ----------------------------------------------------------------------------------- */
 
 /* Counts a dropped message, and logs the first of a series. */
-static void note_dropped(peer_t *peer, const char *reason)
+static void count_dropped(peer_t *peer, const char *reason)
 {
     ts_count(TS_COUNTER_MESH_MESSAGES_DROPPED, 1);
     ts_count_error(TS_E_PEER_LOST);
@@ -208,7 +208,7 @@
     size_t length = nng_msg_len(message);
     if (nng_sendmsg(peer->socket, message, NNG_FLAG_NONBLOCK) != 0) {
         nng_msg_free(message);
-        note_dropped(peer, "full");
+        count_dropped(peer, "full");
         return;
     }
     peer->is_dropping = false;
@@ -222,7 +222,7 @@
     g_queue_push_tail(&peer->waiting, message);
     if (peer->waiting.length > link->buffer) {
         nng_msg_free(g_queue_pop_head(&peer->waiting));
-        note_dropped(peer, "not_connected");
+        count_dropped(peer, "not_connected");
     }
 }
 
@@ -240,13 +240,13 @@
     if (has_dial_timed_out(peer, peer->used_us))
         close_peer(link, peer);
     if (!open_peer(link, peer) || nng_msg_alloc(&message, length) != 0) {
-        note_dropped(peer, "not_opened");
+        count_dropped(peer, "not_opened");
         return;
     }
     memcpy(nng_msg_body(message), bytes, length);
     if (nng_msg_header_append_u32(message, REQUEST_ID) != 0) {
         nng_msg_free(message);
-        note_dropped(peer, "no_memory");
+        count_dropped(peer, "no_memory");
         return;
     }
     if (peer->pipe != 0)
@@ -259,8 +259,8 @@
 {
     peer->pipe = 0;
     peer->dialed_us = ts_clock_now_us(); /* nng redials automatically */
-    if (link->lost != NULL)
-        link->lost(link->context, peer->address);
+    if (link->disconnected != NULL)
+        link->disconnected(link->context, peer->address);
 }
 
 static void set_connected(peer_t *peer, int pipe)
@@ -315,9 +315,9 @@
 
 /* -- Public interface -------------------------------------------------------------------------- */
 
-void ts_peer_link_on_disconnect(ts_peer_link_t *link, ts_peer_disconnected_t lost)
+void ts_peer_link_on_disconnect(ts_peer_link_t *link, ts_peer_disconnected_t disconnected)
 {
-    link->lost = lost;
+    link->disconnected = disconnected;
 }
 
 void ts_peer_link_set_buffer(ts_peer_link_t *link, unsigned messages)
--- a/src/peers/peers_evidence.c
+++ b/src/peers/peers_evidence.c
@@ -16,7 +16,7 @@
 
 /* Counts are batched for this long before they are sent one level up. */
 #define BATCH_MS 50
-/* Interval at which unchanged sums are repeated, well within their half-key. */
+/* Interval at which unchanged sums are repeated, well within their half-life. */
 #define REPEAT_INTERVAL_US (400 * TS_US_PER_MS)
 /* Minimum change, against the sums sent last, for sending again before that interval. */
 #define FAILURE_RATE_CHANGE 0.1
@@ -34,7 +34,7 @@
 #define SEQUENCE_WINDOW 4096U
 
 /* Rows of one frame, filled while iterating over the instances. */
-typedef struct rows {
+typedef struct batch {
     ts_peers_t *peers;
     ts_time_us_t now_us;
     GArray *rows; /* of TsPeer__EvidenceRow */
--- a/src/peers/peers_internal.h
+++ b/src/peers/peers_internal.h
@@ -70,6 +70,7 @@
 bool ts_peers_is_watcher(const ts_peers_t *peers);
 
 // -- peers_store.c: distribution of changes from the configuration service
+/** Sends the position of this node's entries and its age to the children in the zone's tree. */
 void ts_peers_send_beacon(ts_peers_t *peers);
 void ts_peers_handle_beacon(ts_peers_t *peers, const TsPeer__Frame *frame);
 void ts_peers_handle_pull(ts_peers_t *peers, const TsPeer__Frame *frame);
--- a/src/peers/peers_quarantine.c
+++ b/src/peers/peers_quarantine.c
@@ -18,8 +18,7 @@
 #define COMPARE_TICKS 4U
 /* A node that started less than this ago compares even an empty table: it may have restarted. */
 #define STARTUP_US (5 * TS_US_PER_S)
-/* Suspects sent in addition to the quarantined requests when checksums differ; a row has about 60
- * B. */
+/* Suspects sent along with the quarantined requests when checksums differ; about 60 bytes each. */
 #define SUSPECTS_SENT_MAX 64U
 #define ROWS_MAX 2048U
 
--- a/src/peers/peers_rates.c
+++ b/src/peers/peers_rates.c
@@ -69,7 +69,7 @@
     bool is_certain = home != NULL && is_in_majority(peers);
     if (is_certain && home->is_self)
         is_certain =
-            !peers->is_home_ineligible && can_be_home(peers); // not before the limiter was notified
+            !peers->is_home_ineligible && can_be_home(peers); // after notifying the limiter
     return is_certain ? issuer_of(home, address) : TS_RATE_DEALER_NONE;
 }
 
@@ -114,10 +114,10 @@
 
 void ts_peers_update_home_eligibility(ts_peers_t *peers)
 {
-    bool is_out = !can_be_home(peers);
-    if (is_out == peers->is_home_ineligible)
+    bool is_ineligible = !can_be_home(peers);
+    if (is_ineligible == peers->is_home_ineligible)
         return;
-    peers->is_home_ineligible = is_out;
+    peers->is_home_ineligible = is_ineligible;
     ts_rate_limiter_change_view(peers->gateway->limiter, false, ts_clock_now_us());
 }
 
--- a/src/peers/peers_store.c
+++ b/src/peers/peers_store.c
@@ -234,8 +234,8 @@
     bool is_primed = ts_store_mirror_is_primed(peers->mirror);
     if (traffic != NULL && version <= traffic->version)
         return;
-    bool is_near = ts_peers_distance(peers, address) == TS_DISTANCE_ZONE;
-    if (!is_primed || is_near || is_overdue(peers, version))
+    bool is_same_zone = ts_peers_distance(peers, address) == TS_DISTANCE_ZONE;
+    if (!is_primed || is_same_zone || is_overdue(peers, version))
         pull_from(peers, address,
                   is_primed ? ts_store_mirror_position(peers->mirror) : position_zero);
 }
--- a/src/registry/instance_health.c
+++ b/src/registry/instance_health.c
@@ -9,7 +9,7 @@
 /* A node that sends an instance more requests/s than this does not report its suspicions. */
 #define REPORT_RATE_MAX 40.0
 #define RATE_HALF_LIFE_US ((double)TS_US_PER_S)
-#define RATE_STEP 0.693 /* ln 2 per half-life: the average converges to a constant rate */
+#define RATE_STEP 0.693 /* ln 2 per half-life: at a constant rate the average converges to it */
 /* A peer's suspicion is ignored if this node got an answer less than this ago. */
 #define ANSWER_VALID_US (15 * TS_US_PER_MS)
 /*
@@ -47,8 +47,8 @@
 {
     if (!ts_mechanism_is_on(TS_MECHANISM_LIMITS))
         return;
-    double present = instance->limit > 0 ? instance->limit : instance->in_flight;
-    instance->limit = MAX(present * factor, LIMIT_MIN);
+    double current = instance->limit > 0 ? instance->limit : instance->in_flight;
+    instance->limit = MAX(current * factor, LIMIT_MIN);
     instance->limit_lowered_us = now_us;
 }
 
--- a/src/registry/registry.c
+++ b/src/registry/registry.c
@@ -24,10 +24,10 @@
     GHashTable *evacuated; /**< set of zones that are being evacuated */
     double rtt_min_us;
     double rtt_max_us;
-    ts_registry_sighting_t seen;
-    void *seen_ctx;
-    ts_registry_evidence_t wake;
-    void *wake_ctx;
+    ts_registry_sighting_t on_sighting;
+    void *on_sighting_ctx;
+    ts_registry_evidence_t on_evidence;
+    void *on_evidence_ctx;
 };
 
 void ts_instance_record_clear(ts_instance_record_t *record)
@@ -331,7 +331,7 @@
         update_location(registry, value);
 }
 
-/* -- Leaving ----------------------------------------------------------------------------------- */
+/* -- Delisting and cleanup --------------------------------------------------------------------- */
 
 void ts_registry_remove(ts_registry_t *registry, const char *id, ts_time_us_t now_us)
 {
@@ -394,30 +394,30 @@
     return (ts_instance_key_t){instance->id, instance->born_ms};
 }
 
-void ts_registry_on_sighting(ts_registry_t *registry, ts_registry_sighting_t seen, void *ctx)
+void ts_registry_on_sighting(ts_registry_t *registry, ts_registry_sighting_t callback, void *ctx)
 {
-    registry->seen = seen;
-    registry->seen_ctx = ctx;
+    registry->on_sighting = callback;
+    registry->on_sighting_ctx = ctx;
 }
 
 void ts_registry_report_sighting(const ts_instance_t *instance, ts_sighting_t sighting)
 {
     const ts_registry_t *registry = instance->service->registry;
-    if (registry->seen != NULL)
-        registry->seen(registry->seen_ctx, instance, sighting);
+    if (registry->on_sighting != NULL)
+        registry->on_sighting(registry->on_sighting_ctx, instance, sighting);
 }
 
-void ts_registry_on_evidence(ts_registry_t *registry, ts_registry_evidence_t wake, void *ctx)
+void ts_registry_on_evidence(ts_registry_t *registry, ts_registry_evidence_t callback, void *ctx)
 {
-    registry->wake = wake;
-    registry->wake_ctx = ctx;
+    registry->on_evidence = callback;
+    registry->on_evidence_ctx = ctx;
 }
 
 void ts_registry_notify_evidence(const ts_instance_t *instance)
 {
     const ts_registry_t *registry = instance->service->registry;
-    if (registry->wake != NULL)
-        registry->wake(registry->wake_ctx);
+    if (registry->on_evidence != NULL)
+        registry->on_evidence(registry->on_evidence_ctx);
 }
 
 void ts_registry_each_instance(ts_registry_t *registry, ts_registry_visit_t visit, void *context)
