--- a/src/control/mesh.c
+++ b/src/control/mesh.c
@@ -250,7 +250,7 @@
     if (mesh.link == NULL)
         return TS_E_LISTEN;
     ts_peer_link_set_buffer(mesh.link, SEND_BUFFER_FRAMES);
-    ts_peer_link_on_lost(mesh.link, handle_disconnect);
+    ts_peer_link_on_disconnect(mesh.link, handle_disconnect);
     return TS_OK;
 }
 
--- a/src/control/store_watch.c
+++ b/src/control/store_watch.c
@@ -100,7 +100,7 @@
 {
     const ts_peers_t *peers = watch->gateway->peers;
     uint32_t pause_ms = watch->relist_pause_ms;
-    if (pause_ms == 0 && peers != NULL && ts_peers_may_be_told(peers))
+    if (pause_ms == 0 && peers != NULL && ts_peers_is_follower(peers))
         pause_ms = RELIST_PEER_PAUSE_MS;
     watch->relist_pause_ms =
         CLAMP(watch->relist_pause_ms * BACKOFF_GROWTH, BACKOFF_MIN_MS, BACKOFF_MAX_MS);
@@ -236,7 +236,7 @@
     ts_count(TS_COUNTER_PLATFORM_FAILURES, 1);
     record_failure(watch, reason);
     if (watch->gateway->peers != NULL) {
-        ts_peers_ask_around(watch->gateway->peers);
+        ts_peers_pull_from_random(watch->gateway->peers);
     }
     schedule_call(watch, jitter(watch, watch->backoff_ms));
     /* A node without any list cannot serve requests yet, so it retries without backing off. */
@@ -338,7 +338,7 @@
 static bool has_dependents(const ts_store_watch_t *watch)
 {
     const ts_gateway_t *gateway = watch->gateway;
-    return gateway->peers != NULL && ts_peers_is_relied_on(gateway->peers);
+    return gateway->peers != NULL && ts_peers_has_followers(gateway->peers);
 }
 
 /* Whether this node has just started and a peer may still announce that it follows the service. */
--- a/src/edge/part_answer.c
+++ b/src/edge/part_answer.c
@@ -96,8 +96,8 @@
                            const ts_instance_t *instance)
 {
     if (instance->distance != TS_DISTANCE_OTHER_REGION && !result->is_untimed) {
-        double extra_us = ts_rtt_estimate_us(instance->travel) -
-                          ts_registry_travel_least_us(part->request->gateway->registry);
+        double extra_us = ts_rtt_estimate_us(instance->rtt) -
+                          ts_registry_rtt_min_us(part->request->gateway->registry);
         double span_us = MAX((double)result->span_us - extra_us, 1);
         ts_route_state_add_latency(part->request->state, span_us);
     }
--- a/src/edge/request_caution.c
+++ b/src/edge/request_caution.c
@@ -111,13 +111,13 @@
         return TS_SEND_FORBIDDEN;
     if (request->isolated_broken_instance == NULL)
         return TS_SEND_ALLOWED;
-    switch (
-        ts_instance_fate(request->isolated_broken_instance, request->isolated_broken_us, now_us)) {
-    case TS_FATE_UNKNOWN:
+    switch (ts_instance_liveness(request->isolated_broken_instance, request->isolated_broken_us,
+                                 now_us)) {
+    case TS_LIVENESS_UNKNOWN:
         return TS_SEND_DEFERRED;
-    case TS_FATE_ENDED:
+    case TS_LIVENESS_ENDED:
         return TS_SEND_FORBIDDEN;
-    case TS_FATE_LIVES:
+    case TS_LIVENESS_ALIVE:
         break;
     }
     return TS_SEND_ALLOWED;
--- a/src/edge/request_part.c
+++ b/src/edge/request_part.c
@@ -83,9 +83,8 @@
         return overdue_us;
     }
     ts_time_us_t hedge_duration_us =
-        (ts_time_us_t)(HEDGE_TIME_FACTOR *
-                       (ts_route_state_overdue_us(request->state) +
-                        ts_registry_travel_most_us(request->gateway->registry)));
+        (ts_time_us_t)(HEDGE_TIME_FACTOR * (ts_route_state_overdue_us(request->state) +
+                                            ts_registry_rtt_max_us(request->gateway->registry)));
     ts_time_us_t latest_us = request->soft_deadline_us > hedge_duration_us
                                  ? request->soft_deadline_us - hedge_duration_us
                                  : 0;
@@ -162,7 +161,7 @@
 void ts_part_record_blocked(const ts_request_part_t *part, ts_time_us_t now_us)
 {
     if (ts_part_is_blocked(part, now_us))
-        part->service->wanted_us = now_us;
+        part->service->blocked_us = now_us;
 }
 
 static bool is_scarce(const ts_request_part_t *part, ts_time_us_t now_us)
@@ -279,7 +278,7 @@
 {
     ts_gateway_t *gateway = part->request->gateway;
     if (gateway->peers != NULL)
-        ts_peers_ask_loan(gateway->peers, part->service, now_us);
+        ts_peers_request_loan(gateway->peers, part->service, now_us);
     if (part->was_denied)
         return;
     part->was_denied = true;
@@ -414,7 +413,7 @@
 {
     for (unsigned i = 0; i < part->sends; i++) {
         if (part->exchanges[i] != NULL)
-            ts_instance_tell_overdue(ts_exchange_instance(part->exchanges[i]));
+            ts_instance_report_suspicion(ts_exchange_instance(part->exchanges[i]));
     }
 }
 
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -1,4 +1,4 @@
-/** The other gateways: membership, the zone's watcher, and what is passed between them. */
+/** Communication with the other gateways: frames, membership, and the tree of the zone. */
 #include "peers_internal.h"
 
 #include <string.h>
@@ -9,20 +9,20 @@
 #include "tealspar/log.h"
 
 #define PROTOCOL 1
-/* The time between two beacons of a watcher, and the tick of membership. */
+/* Tick of membership, and the number of ticks between beacons of the watcher. */
 #define TICK_MS 250
 #define BEACON_TICKS 2
-/* What goes round a zone goes along a tree, so that no node sends to more than this many. */
+/* Fan-out of the tree along which frames are distributed within a zone. */
 #define TREE_CHILDREN 16U
 
 bool ts_peers_is_watcher(const ts_peers_t *peers)
 {
-    return peers->own_place == 0;
+    return peers->own_index == 0;
 }
 
 /* -- Sending ----------------------------------------------------------------------------------- */
 
-static ts_byte_cause_t cause_of(const TsPeer__Frame *frame)
+static ts_byte_cause_t byte_cause(const TsPeer__Frame *frame)
 {
     if (frame->sighting != NULL)
         return TS_BYTES_SIGHTING;
@@ -46,16 +46,16 @@
     frame->protocol = PROTOCOL;
     frame->name = settings->name;
     frame->address = (char *)ts_gateway_settings_reached_at(settings);
-    ts_peers_mark_frame(peers, address, frame);
+    ts_peers_number_frame(peers, address, frame);
     size_t length = ts_peer__frame__get_packed_size(frame);
     uint8_t *bytes = g_malloc(length);
     ts_peer__frame__pack(frame, bytes);
     ts_peer_link_send(peers->link, address, bytes, length);
-    ts_account_bytes(cause_of(frame), ts_peers_distance(peers, address), length);
+    ts_account_bytes(byte_cause(frame), ts_peers_distance(peers, address), length);
     g_free(bytes);
 }
 
-static void take_contents(ts_peers_t *peers, TsPeer__Frame *frame)
+static void dispatch_frame(ts_peers_t *peers, TsPeer__Frame *frame)
 {
     if (frame->gossip.len > 0 &&
         !ts_membership_receive(peers->membership, frame->name, frame->address, frame->gossip.data,
@@ -63,29 +63,29 @@
         ts_count_error(TS_E_PROTOCOL);
     }
     if (frame->beacon != NULL) {
-        ts_peers_take_beacon(peers, frame);
+        ts_peers_handle_beacon(peers, frame);
     }
     if (frame->pull != NULL) {
-        ts_peers_take_pull(peers, frame);
+        ts_peers_handle_pull(peers, frame);
     }
     if (frame->changes != NULL) {
-        ts_peers_take_changes(peers, frame->changes);
+        ts_peers_handle_changes(peers, frame->changes);
     }
     if (frame->sighting != NULL) {
-        ts_peers_take_sighting(peers, frame->sighting);
+        ts_peers_handle_sighting(peers, frame->sighting);
     }
     if (frame->loan != NULL) {
-        ts_peers_take_loan(peers, frame->address, frame->loan);
+        ts_peers_handle_loan(peers, frame->address, frame->loan);
     }
     if (frame->evidence != NULL)
-        ts_peers_take_evidence(peers, frame);
+        ts_peers_handle_evidence(peers, frame);
     if (frame->rate != NULL)
-        ts_peers_take_rate(peers, frame);
+        ts_peers_handle_rate(peers, frame);
     if (frame->quarantine != NULL)
-        ts_peers_take_quarantine(peers, frame);
+        ts_peers_handle_quarantine(peers, frame);
 }
 
-static void take_frame(void *context, const uint8_t *bytes, size_t length)
+static void handle_frame(void *context, const uint8_t *bytes, size_t length)
 {
     ts_peers_t *peers = context;
     TsPeer__Frame *frame = ts_peer__frame__unpack(NULL, length, bytes);
@@ -96,11 +96,11 @@
         }
         return;
     }
-    bool wants_echo = ts_peers_note_frame(peers, frame);
+    bool wants_echo = ts_peers_process_ack(peers, frame);
     uint32_t sent = ts_peers_frames_sent(peers, frame->address);
-    take_contents(peers, frame);
+    dispatch_frame(peers, frame);
     if (wants_echo && ts_peers_frames_sent(peers, frame->address) == sent)
-        ts_peers_send_echo(peers, frame->address); // nothing else went back
+        ts_peers_send_ack(peers, frame->address); // no other frame has carried the ack
     ts_peer__frame__free_unpacked(frame, NULL);
 }
 
@@ -116,7 +116,7 @@
     ts_peers_send(context, address, &frame);
 }
 
-/* Live ones first, then by rendezvous weight; the same view gives the same order everywhere. */
+/* Depends on the view only, so that all nodes with the same view agree on the order. */
 gint ts_peers_compare_members(gconstpointer left, gconstpointer right)
 {
     const ts_view_member_t *a = *(ts_view_member_t *const *)left;
@@ -131,7 +131,7 @@
     return (a_weight < b_weight) - (a_weight > b_weight);
 }
 
-static void order_zone(ts_peers_t *peers)
+static void sort_zone(ts_peers_t *peers)
 {
     const char *zone = peers->gateway->settings->zone;
     g_ptr_array_set_size(peers->zone_order, 0);
@@ -144,14 +144,14 @@
     g_ptr_array_sort(peers->zone_order, ts_peers_compare_members);
     for (guint i = 0; i < peers->zone_order->len; i++) {
         if (((ts_view_member_t *)g_ptr_array_index(peers->zone_order, i))->is_self) {
-            peers->own_place = i;
+            peers->own_index = i;
         }
     }
 }
 
 void ts_peers_send_to_children(ts_peers_t *peers, TsPeer__Frame *frame)
 {
-    guint begin = peers->own_place * TREE_CHILDREN + 1;
+    guint begin = peers->own_index * TREE_CHILDREN + 1;
     for (guint i = begin; i < begin + TREE_CHILDREN && i < peers->zone_order->len; i++) {
         const ts_view_member_t *member = g_ptr_array_index(peers->zone_order, i);
         ts_peers_send(peers, member->address, frame);
@@ -160,23 +160,23 @@
 
 const char *ts_peers_parent(const ts_peers_t *peers)
 {
-    if (peers->own_place == 0)
+    if (peers->own_index == 0)
         return NULL;
-    guint place = (peers->own_place - 1) / TREE_CHILDREN;
-    const ts_view_member_t *parent = g_ptr_array_index(peers->zone_order, place);
+    guint index = (peers->own_index - 1) / TREE_CHILDREN;
+    const ts_view_member_t *parent = g_ptr_array_index(peers->zone_order, index);
     return parent->address;
 }
 
-static void change_view(void *context)
+static void update_view(void *context)
 {
     ts_peers_t *peers = context;
     ts_view_unref(peers->view);
     peers->view = ts_membership_view(peers->membership);
-    order_zone(peers);
+    sort_zone(peers);
     ts_peers_locate_members(peers);
-    ts_peers_find_collector(peers);
-    ts_peers_change_homes(peers);
-    ts_peers_forget_echoes(peers);
+    ts_peers_choose_collector(peers);
+    ts_peers_update_homes(peers);
+    ts_peers_prune_acks(peers);
     ts_gauge_set(TS_COUNTER_MEMBERS_LIVE,
                  (int64_t)ts_membership_count(peers->membership, TS_MEMBER_LIVE));
     ts_gateway_set_node_count(peers->gateway, (unsigned)peers->view->count);
@@ -193,11 +193,11 @@
 {
     ts_peers_t *peers = timer->data;
     ts_membership_tick(peers->membership, ts_clock_now_us());
-    if (ts_peers_is_in_need(peers)) {
-        ts_peers_ask_around(peers);
+    if (ts_peers_needs_bootstrap(peers)) {
+        ts_peers_pull_from_random(peers);
     }
     ts_peers_compare_quarantine(peers);
-    ts_peers_check_contact(peers);
+    ts_peers_probe_silent_zones(peers);
     if (++peers->ticks % BEACON_TICKS == 0 && ts_peers_is_watcher(peers) &&
         ts_store_mirror_is_loaded(peers->mirror)) {
         ts_peers_send_beacon(peers);
@@ -224,7 +224,7 @@
     ts_peer_link_sweep(peers->link, now_us);
 }
 
-/* Seeds are asked by address alone; their names come with their answers. */
+/* Seeds are known by address only; their names are learned from their replies. */
 static void add_seeds(ts_peers_t *peers)
 {
     const ts_gateway_settings_t *settings = peers->gateway->settings;
@@ -240,8 +240,8 @@
 
 ts_peers_t *ts_peers_open(ts_gateway_t *gateway, ts_store_mirror_t *mirror)
 {
-    static const ts_membership_ops_t ops = {send_gossip, ts_peers_hear_config, change_view,
-                                            log_member};
+    static const ts_membership_ops_t ops = {send_gossip, ts_peers_handle_config_version,
+                                            update_view, log_member};
     const ts_gateway_settings_t *settings = gateway->settings;
     ts_peers_t *peers = g_new0(ts_peers_t, 1);
     uint64_t incarnation = (uint64_t)ts_clock_wall_ms();
@@ -255,23 +255,23 @@
     };
     peers->gateway = gateway;
     peers->mirror = mirror;
-    peers->link = ts_peer_link_open(gateway->loop, settings->peers, take_frame, peers);
+    peers->link = ts_peer_link_open(gateway->loop, settings->peers, handle_frame, peers);
     if (peers->link == NULL) {
         return NULL;
     }
-    ts_peers_open_echoes(peers);
+    ts_peers_init_acks(peers);
     peers->contact = ts_contact_create(ts_hash_text(settings->name));
     peers->membership = ts_membership_create(&config, &ops, peers, ts_clock_now_us());
     peers->zone_order = g_ptr_array_new();
     peers->regions = g_ptr_array_new();
     peers->distances = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     peers->view = ts_membership_view(peers->membership);
-    order_zone(peers);
+    sort_zone(peers);
     ts_peers_locate_members(peers);
-    ts_peers_change_homes(peers);
-    ts_peers_open_evidence(peers);
-    ts_peers_open_quarantine(peers);
-    ts_registry_on_evidence(gateway->registry, ts_peers_wake_evidence, peers);
+    ts_peers_update_homes(peers);
+    ts_peers_init_evidence(peers);
+    ts_peers_init_quarantine(peers);
+    ts_registry_on_evidence(gateway->registry, ts_peers_schedule_evidence, peers);
     add_seeds(peers);
     uv_timer_init(gateway->loop, &peers->timer);
     peers->timer.data = peers;
--- a/src/peers/peers_rates.c
+++ b/src/peers/peers_rates.c
@@ -1,4 +1,4 @@
-/** Rates that the fleet keeps together: who deals an account out, and the messages. */
+/** Fleet-wide rate limits: choice of the home and deputy of an account, and their messages. */
 #include <string.h>
 
 #include "peers_internal.h"
@@ -6,31 +6,33 @@
 #include "tealspar/hash.h"
 
 /*
- * A process that is younger than this may not have found the others yet: it needs half of the nodes
- * that its settings suggest in view before it believes anybody home, later half of those it saw.
+ * A process that started less than this ago may not have discovered the other nodes yet. Until then
+ * it requires a majority of the expected number of nodes in its view before it accepts any node as
+ * home; afterwards a majority of the largest view so far is sufficient.
  */
-#define YOUNG_US (2 * TS_US_PER_S)
-/* A view that has stayed smaller for so long is that of a fleet that has become smaller. */
-#define SHRUNK_US (60 * TS_US_PER_S)
+#define STARTUP_US (2 * TS_US_PER_S)
+/* After this time a smaller view is taken as the new size of the fleet. */
+#define SHRINK_CONFIRM_US (60 * TS_US_PER_S)
 
-/* Rates go over the wire in thousandths. */
+/* Rates are sent in thousandths. */
 #define MILLI 1000.0
 
-/* Whether this node sees enough of the fleet to agree with the others on who is home. */
+/* Whether the view holds a majority of the fleet, so that nodes agree on the home. */
 static bool is_in_majority(const ts_peers_t *peers)
 {
     const ts_gateway_t *gateway = peers->gateway;
-    bool is_young = ts_clock_now_us() - gateway->opened_us < YOUNG_US;
-    bool has_shrunk = peers->shrunk_us != 0 && ts_clock_now_us() - peers->shrunk_us > SHRUNK_US;
-    size_t fleet = has_shrunk ? peers->view->count : peers->members_most;
-    if (is_young)
+    bool is_starting = ts_clock_now_us() - gateway->opened_us < STARTUP_US;
+    bool has_shrunk =
+        peers->shrunk_us != 0 && ts_clock_now_us() - peers->shrunk_us > SHRINK_CONFIRM_US;
+    size_t fleet = has_shrunk ? peers->view->count : peers->members_max;
+    if (is_starting)
         fleet = MAX(fleet, gateway->nodes);
     return 2 * peers->view->count > fleet;
 }
 
-/* The live member of the highest rendezvous weight, of a zone or (NULL) of all; NULL: none. */
-static const ts_view_member_t *find_dealer(const ts_peers_t *peers, const char *account,
-                                           const char *zone)
+/* The live member with the highest rendezvous weight in `zone` (NULL: any), or NULL. */
+static const ts_view_member_t *find_highest_weight(const ts_peers_t *peers, const char *account,
+                                                   const char *zone)
 {
     const ts_view_member_t *best = NULL;
     uint64_t best_weight = 0;
@@ -38,8 +40,9 @@
     for (size_t i = 0; i < peers->view->count; i++) {
         const ts_view_member_t *member = &peers->view->members[i];
         uint64_t weight = ts_hash_mix(member->id, id);
-        bool is_near = zone == NULL || strcmp(member->zone, zone) == 0;
-        if (!is_near || member->state != TS_MEMBER_LIVE || (best != NULL && weight <= best_weight))
+        bool is_in_zone = zone == NULL || strcmp(member->zone, zone) == 0;
+        if (!is_in_zone || member->state != TS_MEMBER_LIVE ||
+            (best != NULL && weight <= best_weight))
             continue;
         best = member;
         best_weight = weight;
@@ -47,39 +50,40 @@
     return best;
 }
 
-/* Whether this node may be home of anything. */
+/* Whether this node may be home of any account. */
 static bool can_be_home(const ts_peers_t *peers)
 {
     return is_in_majority(peers) && ts_contact_has_majority(peers->contact, ts_clock_now_us());
 }
 
-static ts_rate_issuer_t dealer(const ts_view_member_t *member, const char **address)
+static ts_rate_issuer_t issuer_of(const ts_view_member_t *member, const char **address)
 {
     *address = member->address;
     return member->is_self ? TS_RATE_ISSUER_SELF : TS_RATE_ISSUER_PEER;
 }
 
-ts_rate_issuer_t ts_peers_rate_home(const ts_peers_t *peers, const char *account,
-                                    const char **address)
+ts_rate_issuer_t ts_peers_find_rate_home(const ts_peers_t *peers, const char *account,
+                                         const char **address)
 {
-    const ts_view_member_t *home = find_dealer(peers, account, NULL);
+    const ts_view_member_t *home = find_highest_weight(peers, account, NULL);
     bool is_certain = home != NULL && is_in_majority(peers);
     if (is_certain && home->is_self)
-        is_certain = !peers->is_out && can_be_home(peers); // begins when the limiter was told
-    return is_certain ? dealer(home, address) : TS_RATE_ISSUER_NONE;
+        is_certain =
+            !peers->is_home_ineligible && can_be_home(peers); // after notifying the limiter
+    return is_certain ? issuer_of(home, address) : TS_RATE_ISSUER_NONE;
 }
 
-ts_rate_issuer_t ts_peers_rate_deputy(const ts_peers_t *peers, const char *account,
-                                      const char **address)
+ts_rate_issuer_t ts_peers_find_rate_deputy(const ts_peers_t *peers, const char *account,
+                                           const char **address)
 {
     const char *zone = peers->gateway->settings->zone;
-    const ts_view_member_t *home = find_dealer(peers, account, NULL);
-    bool is_near = home != NULL && strcmp(home->zone, zone) == 0 && is_in_majority(peers);
-    const ts_view_member_t *deputy = is_near ? home : find_dealer(peers, account, zone);
-    return deputy == NULL ? TS_RATE_ISSUER_SELF : dealer(deputy, address);
+    const ts_view_member_t *home = find_highest_weight(peers, account, NULL);
+    bool is_in_zone = home != NULL && strcmp(home->zone, zone) == 0 && is_in_majority(peers);
+    const ts_view_member_t *deputy = is_in_zone ? home : find_highest_weight(peers, account, zone);
+    return deputy == NULL ? TS_RATE_ISSUER_SELF : issuer_of(deputy, address);
 }
 
-/* Who may be home: the same digest, the same homes. */
+/* Digest of the live members, which determine the homes. */
 static uint64_t digest_live(const ts_view_t *view)
 {
     uint64_t digest = 0;
@@ -89,11 +93,11 @@
     return digest;
 }
 
-void ts_peers_change_homes(ts_peers_t *peers)
+void ts_peers_update_homes(ts_peers_t *peers)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    if (peers->view->count >= peers->members_most) {
-        peers->members_most = peers->view->count;
+    if (peers->view->count >= peers->members_max) {
+        peers->members_max = peers->view->count;
         peers->shrunk_us = 0;
     } else if (peers->shrunk_us == 0) {
         peers->shrunk_us = now_us;
@@ -101,40 +105,40 @@
     ts_contact_set_view(peers->contact, peers->view);
     size_t live = ts_membership_count(peers->membership, TS_MEMBER_LIVE);
     uint64_t digest = digest_live(peers->view);
-    peers->is_out = !can_be_home(peers);
+    peers->is_home_ineligible = !can_be_home(peers);
     if (digest != peers->live_digest)
         ts_rate_limiter_update_view(peers->gateway->limiter, live < peers->members_live, now_us);
     peers->members_live = live;
     peers->live_digest = digest;
 }
 
-void ts_peers_check_standing(ts_peers_t *peers)
+void ts_peers_update_home_eligibility(ts_peers_t *peers)
 {
-    bool is_out = !can_be_home(peers);
-    if (is_out == peers->is_out)
+    bool is_ineligible = !can_be_home(peers);
+    if (is_ineligible == peers->is_home_ineligible)
         return;
-    peers->is_out = is_out;
+    peers->is_home_ineligible = is_ineligible;
     ts_rate_limiter_update_view(peers->gateway->limiter, false, ts_clock_now_us());
 }
 
-void ts_peers_check_contact(ts_peers_t *peers)
+void ts_peers_probe_silent_zones(ts_peers_t *peers)
 {
     const ts_traffic_t *traffic = peers->gateway->traffic;
     ts_time_us_t now_us = ts_clock_now_us();
     const char *address = NULL;
     if (traffic == NULL || ts_tenants_count(traffic->tenants) == 0)
-        return; // nobody is home of anything
-    while ((address = ts_contact_next_call(peers->contact, now_us)) != NULL)
-        ts_peers_call(peers, address);
-    ts_peers_check_standing(peers);
+        return; // without tenants there are no accounts
+    while ((address = ts_contact_next_probe(peers->contact, now_us)) != NULL)
+        ts_peers_send_probe(peers, address);
+    ts_peers_update_home_eligibility(peers);
 }
 
-static uint32_t to_milli(double rate)
+static uint32_t to_thousandths(double rate)
 {
     return (uint32_t)MIN(rate * MILLI, UINT32_MAX);
 }
 
-void ts_peers_ask_rate(ts_peers_t *peers, const char *address, const ts_rate_message_t *row)
+void ts_peers_send_rate_claim(ts_peers_t *peers, const char *address, const ts_rate_message_t *row)
 {
     TsPeer__Rate rate = TS_PEER__RATE__INIT;
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
@@ -143,40 +147,40 @@
     rate.in_hand = row->in_hand;
     rate.spent_alone = row->spent_alone;
     rate.wanted = row->wanted;
-    rate.used_milli = to_milli(row->request_rate);
-    rate.right_milli = to_milli(row->fallback_rate);
-    rate.foreign_milli = to_milli(row->foreign_rate);
-    rate.foreign_from = row->foreign_issuer;
+    rate.used_milli = to_thousandths(row->used);
+    rate.right_milli = to_thousandths(row->right);
+    rate.foreign_milli = to_thousandths(row->foreign);
+    rate.foreign_from = row->foreign_from;
     rate.is_alone = row->is_alone;
     rate.has_moved = row->has_moved;
     rate.is_leaving = row->is_leaving;
-    rate.saved_milli = to_milli(row->saved);
+    rate.saved_milli = to_thousandths(row->saved);
     frame.rate = &rate;
     ts_count(TS_COUNTER_RATE_ASKS, 1);
     ts_peers_send(peers, address, &frame);
 }
 
-void ts_peers_answer_rate(ts_peers_t *peers, const char *address, const ts_rate_message_t *row)
+void ts_peers_send_rate_grant(ts_peers_t *peers, const char *address, const ts_rate_message_t *row)
 {
     TsPeer__Rate rate = TS_PEER__RATE__INIT;
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
     rate.account = (char *)row->account;
     rate.ask = row->sequence;
     rate.is_deal = true;
-    rate.tokens = row->grant.tokens;
-    rate.right_milli = to_milli(row->grant.fallback_rate);
-    rate.is_sublet = row->grant.is_sublet;
-    rate.is_lost = row->grant.is_lost;
-    rate.has_left = row->grant.has_left;
-    rate.foreign_from = row->foreign_issuer;
-    rate.valid_ms = (uint32_t)(row->grant.valid_us / TS_US_PER_MS);
-    rate.wait_ms = (uint32_t)MIN(row->grant.wait_us / TS_US_PER_MS, UINT32_MAX);
+    rate.tokens = row->deal.tokens;
+    rate.right_milli = to_thousandths(row->deal.right);
+    rate.is_sublet = row->deal.is_sublet;
+    rate.is_lost = row->deal.is_lost;
+    rate.has_left = row->deal.has_left;
+    rate.foreign_from = row->foreign_from;
+    rate.valid_ms = (uint32_t)(row->deal.valid_us / TS_US_PER_MS);
+    rate.wait_ms = (uint32_t)MIN(row->deal.wait_us / TS_US_PER_MS, UINT32_MAX);
     frame.rate = &rate;
     ts_count(TS_COUNTER_RATE_DEALS, 1);
     ts_peers_send(peers, address, &frame);
 }
 
-void ts_peers_take_rate(ts_peers_t *peers, const TsPeer__Frame *frame)
+void ts_peers_handle_rate(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     const TsPeer__Rate *rate = frame->rate;
     ts_rate_limiter_t *limiter = peers->gateway->limiter;
--- a/src/route/replica.c
+++ b/src/route/replica.c
@@ -77,7 +77,7 @@
     if (instance->warm_at_us > input->now_us) {
         work_us *= WARMUP_FACTOR;
     }
-    double cost_us = ts_rtt_estimate_us(instance->travel) + work_us * (1 + queue_factor(instance));
+    double cost_us = ts_rtt_estimate_us(instance->rtt) + work_us * (1 + queue_factor(instance));
     cost_us +=
         ts_instance_failure_rate(instance, input->now_us) * FAILED_COST_RATIO * input->work_us;
     if (instance->suspected_us != 0 && !is_probe_due(instance, input->now_us)) {
@@ -94,7 +94,7 @@
 
 bool ts_replica_is_full(const ts_instance_t *instance, const ts_replica_input_t *input)
 {
-    bool is_warmup_limited = ts_instance_is_cold_bound(instance, input->now_us);
+    bool is_warmup_limited = ts_instance_is_warmup_limited(instance, input->now_us);
     if (is_warmup_limited && !ts_cold_window_has_room(&instance->cold, input->now_us))
         return true;
     /* The limits of all nodes together always allow filling the slots and a queue as long. */
@@ -136,7 +136,7 @@
         }
     }
     if (best != NULL && best->suspected_us != 0) {
-        best->tried_us = input->now_us;
+        best->suspect_sent_us = input->now_us;
     }
     return best;
 }
