--- a/tests/gateway/world.c
+++ b/tests/gateway/fixture.c
@@ -1,5 +1,5 @@
 /** A gateway with stand-ins around it. */
-#include "world.h"
+#include "fixture.h"
 
 #include <string.h>
 
--- a/tests/gateway/world.h
+++ b/tests/gateway/fixture.h
@@ -2,8 +2,8 @@
  * A gateway with stand-ins around it, on one loop and real sockets of 127.0.0.1: a store,
  * searchers, and callers that speak raw bytes.
  */
-#ifndef TESTS_GATEWAY_WORLD_H
-#define TESTS_GATEWAY_WORLD_H
+#ifndef TESTS_GATEWAY_FIXTURE_H
+#define TESTS_GATEWAY_FIXTURE_H
 
 #include "../test_support.h"
 
--- a/tests/gateway/test_callers.c
+++ b/tests/gateway/test_callers.c
@@ -1,5 +1,5 @@
 /** What callers may send, and how their connections end. */
-#include "world.h"
+#include "fixture.h"
 
 #include <string.h>
 
--- a/tests/gateway/test_churn.c
+++ b/tests/gateway/test_churn.c
@@ -3,7 +3,7 @@
  * no memory is used after it was freed (run it with SANITIZE=address), every request ends, and
  * counts return to zero.
  */
-#include "world.h"
+#include "fixture.h"
 
 #include <string.h>
 
--- a/tests/gateway/test_crashing_requests.c
+++ b/tests/gateway/test_crashing_requests.c
@@ -3,7 +3,7 @@
  * end, and what becomes of everybody else's requests. Several nodes with real messages between
  * them.
  */
-#include "world.h"
+#include "fixture.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/tests/gateway/test_forwarding.c
+++ b/tests/gateway/test_forwarding.c
@@ -1,5 +1,5 @@
 /** Forwarding of one request to one back end, over real sockets. */
-#include "world.h"
+#include "fixture.h"
 
 #include <string.h>
 
--- a/tests/gateway/test_gathering.c
+++ b/tests/gateway/test_gathering.c
@@ -1,5 +1,5 @@
 /** Gathering of parts over several services, over real sockets. */
-#include "world.h"
+#include "fixture.h"
 
 #include <string.h>
 
--- a/tests/gateway/test_peers.c
+++ b/tests/gateway/test_peers.c
@@ -1,5 +1,5 @@
 /** Several gateways: who follows the store, and what they tell each other. */
-#include "world.h"
+#include "fixture.h"
 
 #include "../../src/peers/peers_internal.h"
 #include "tealspar/peers.h"
--- a/tests/gateway/test_quotas.c
+++ b/tests/gateway/test_quotas.c
@@ -1,5 +1,5 @@
 /** Limits of tenants, at one gateway and over several with real messages between them. */
-#include "world.h"
+#include "fixture.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/tests/gateway/test_silent_links.c
+++ b/tests/gateway/test_silent_links.c
@@ -1,5 +1,5 @@
 /** Connections that go silent without a reset, while new ones work. */
-#include "world.h"
+#include "fixture.h"
 
 #include "link.h"
 #include "tealspar/counters.h"
--- a/tests/gateway/test_store_epochs.c
+++ b/tests/gateway/test_store_epochs.c
@@ -1,5 +1,5 @@
 /** One gateway, or a few, and a store whose epochs and answers come in odd ways. */
-#include "world.h"
+#include "fixture.h"
 
 #include <string.h>
 
--- a/tests/gateway/test_store_restore.c
+++ b/tests/gateway/test_store_restore.c
@@ -1,5 +1,5 @@
 /** Several gateways, and a store that comes back from a copy that lacks its latest changes. */
-#include "world.h"
+#include "fixture.h"
 
 #include <string.h>
 
--- a/tests/gateway/test_store_watch.c
+++ b/tests/gateway/test_store_watch.c
@@ -1,5 +1,5 @@
 /** Configuration and back ends from the store, also when it fails. */
-#include "world.h"
+#include "fixture.h"
 
 #include <string.h>
 
--- a/tests/gateway/test_suspension.c
+++ b/tests/gateway/test_suspension.c
@@ -2,7 +2,7 @@
  * A machine that was suspended: its boot time went on, timers and the steady clock stood still. The
  * boot time is put forward here, by a wrapped clock_gettime.
  */
-#include "world.h"
+#include "fixture.h"
 
 #include <time.h>
 
--- a/tests/gateway/test_tenants.c
+++ b/tests/gateway/test_tenants.c
@@ -1,5 +1,5 @@
 /** Requests with keys: who is let in, what back ends see, and keys that are taken away. */
-#include "world.h"
+#include "fixture.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/tests/lab/test_ports.c
+++ b/tests/lab/test_ports.c
@@ -9,7 +9,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include "../gateway/world.h"
+#include "../gateway/fixture.h"
 
 #define PROGRAMS 30
 #define PORTS_EACH 150
--- a/tests/scripted/run_script.c
+++ b/tests/scripted/run_script.c
@@ -26,7 +26,7 @@
  *   deadline MS                   how long callers wait from now on
  *   wait MS                       lets time pass
  */
-#include "../gateway/world.h"
+#include "../gateway/fixture.h"
 
 #include "../../platform/names.h"
 
