--- a/tests/gateway/fixture.h
+++ b/tests/gateway/fixture.h
@@ -1,6 +1,6 @@
 /**
- * A gateway with stand-ins around it, on one loop and real sockets of 127.0.0.1: a store,
- * searchers, and callers that speak raw bytes.
+ * Test fixture: a gateway, a fake configuration store, fake searchers and raw-socket clients, all
+ * on one event loop and connected over 127.0.0.1.
  */
 #ifndef TESTS_GATEWAY_FIXTURE_H
 #define TESTS_GATEWAY_FIXTURE_H
@@ -11,81 +11,88 @@
 #include "standin_store.h"
 #include "tealspar/gateway.h"
 
-typedef struct world {
+typedef struct fixture {
     uv_loop_t loop;
     ts_gateway_t gateway;
     lab_store_t *store;
-    unsigned callers_port;
-    unsigned ready_port;
+    unsigned callers_port; /**< accepts requests */
+    unsigned ready_port;   /**< serves the readiness endpoint */
     unsigned store_port;
-} world_t;
+} fixture_t;
 
-/** A connection of a caller. */
-typedef struct visit {
+/** A client connection to a gateway. */
+typedef struct client {
     uv_tcp_t socket;
-    uv_connect_t connecting;
+    uv_connect_t connect_request;
     GString *received;
-    ts_http_message_t answer; /**< parsed from what was received */
-    bool is_answer_taken;     /**< visit_await has returned this answer */
-    bool is_open;
-    bool is_ended; /**< the other side ended it */
-    bool was_reset;
-} visit_t;
+    ts_http_message_t response; /**< parsed from `received` */
+    bool is_response_returned;  /**< client_await_response has returned `response` */
+    bool is_connected;
+    bool is_closed_by_peer;
+    bool was_reset; /**< closed with an error, not with an end of stream */
+} client_t;
 
-/** Opens store and gateway; extra settings lines may be given, or NULL. */
-world_t *world_open(const char *settings);
+/** Opens the store and the gateway; `settings`: additional YAML lines, or NULL. */
+fixture_t *fixture_open(const char *settings);
 /**
- * Adds another gateway that listens for peers; `store_port` 0: a port where nobody answers. The
- * first one has no peers, so tests of peers leave it alone.
+ * Opens another gateway, which listens for peers; `store_port` 0: it cannot reach the store. The
+ * gateway in fixture_t has no peers, so tests of peers use only gateways added here.
  */
-ts_gateway_t *world_add_gateway(world_t *world, const char *name, const char *zone,
-                                unsigned peers_port, unsigned seed_port, unsigned store_port);
-/** Opens a gateway on the world's loop with the settings given as YAML. */
-ts_gateway_t *world_open_gateway(world_t *world, const char *settings);
-/** A port that no other part of the test uses. */
-unsigned world_next_port(void);
-/** Runs the loop until the gateway has this version and this many back ends, or 5 s have passed. */
-bool world_await_knowledge(world_t *world, const ts_gateway_t *gateway, uint64_t version,
-                           unsigned listed);
-/** Writes a configuration with the version and routes, both JSON texts. */
-void world_configure(world_t *world, unsigned version, const char *routes);
-/** Adds a searcher and enters it in the store. */
-lab_searcher_t *world_add_searcher(world_t *world, const char *id, const char *service,
-                                   const char *zone);
-/** The same, without waiting until the gateway knows it. */
-lab_searcher_t *world_enter_searcher(world_t *world, const char *id, const char *service,
+ts_gateway_t *fixture_add_gateway(fixture_t *fixture, const char *name, const char *zone,
+                                  unsigned peers_port, unsigned seed_port, unsigned store_port);
+/** Opens a gateway on the fixture's loop with complete settings, as YAML. */
+ts_gateway_t *fixture_open_gateway(fixture_t *fixture, const char *settings);
+/** Allocates a port that is not used by any other part of the test. */
+unsigned fixture_next_port(void);
+/**
+ * Runs the loop until the gateway has at least this configuration version and exactly this number
+ * of listed backends; returns false after 5 s.
+ */
+bool fixture_await_synced(fixture_t *fixture, const ts_gateway_t *gateway, uint64_t version,
+                          unsigned backend_count);
+/** Writes a configuration to the store and waits until the gateway has it; `routes`: JSON. */
+void fixture_put_config(fixture_t *fixture, unsigned version, const char *routes);
+/** Opens a searcher, registers it in the store and waits until the gateway lists it. */
+lab_searcher_t *fixture_add_searcher(fixture_t *fixture, const char *id, const char *service,
                                      const char *zone);
-/** Enters a searcher that the test opened itself, and waits until the gateway knows it. */
-void world_enter_existing(world_t *world, const lab_searcher_t *searcher);
-void world_set_draining(world_t *world, const lab_searcher_t *searcher);
-/** Runs the loop for a span. */
-void world_run_ms(world_t *world, unsigned span_ms);
-/** Runs the loop until `*value` reaches `least`, or 5 s have passed; returns whether it did. */
-bool world_run_until(world_t *world, const unsigned *value, unsigned least);
-/** Waits until the gateway has a configuration of at least this version. */
-void world_await_version(world_t *world, uint64_t version);
+/** Same as fixture_add_searcher, but does not wait for the gateway. */
+lab_searcher_t *fixture_register_searcher(fixture_t *fixture, const char *id, const char *service,
+                                          const char *zone);
+/** Registers a searcher that is already open and waits until the gateway lists it. */
+void fixture_add_existing_searcher(fixture_t *fixture, const lab_searcher_t *searcher);
+void fixture_set_draining(fixture_t *fixture, const lab_searcher_t *searcher);
+/** Runs the loop for the given time. */
+void fixture_run_ms(fixture_t *fixture, unsigned duration_ms);
+/** Runs the loop until `*value` is at least `minimum`; returns false after 5 s. */
+bool fixture_run_until(fixture_t *fixture, const unsigned *value, unsigned minimum);
+/** Runs the loop until the gateway has at least this configuration version, for at most 5 s. */
+void fixture_await_version(fixture_t *fixture, uint64_t version);
 
-/** Waits until the gateway knows this number of back ends. */
-void world_await_listed(world_t *world, unsigned listed);
+/** Runs the loop until the gateway lists this number of backends, for at most 5 s. */
+void fixture_await_backend_count(fixture_t *fixture, unsigned backend_count);
 
-visit_t *visit_open(world_t *world, unsigned port);
-void visit_send(visit_t *visit, const char *bytes);
-/** Runs the loop until one answer is whole (or 5 s passed); returns its status, 0 without one. */
-unsigned visit_await(world_t *world, visit_t *visit);
-void visit_close(visit_t *visit);
-/** A whole request on a new connection; returns the status. The visit stays open. */
-visit_t *visit_get(world_t *world, const char *target, const char *id, unsigned deadline_ms,
-                   unsigned *status);
+client_t *client_connect(fixture_t *fixture, unsigned port);
+void client_send(client_t *client, const char *bytes);
+/**
+ * Runs the loop until the next response is complete and returns its status; 0 if the connection is
+ * closed first or after 5 s.
+ */
+unsigned client_await_response(fixture_t *fixture, client_t *client);
+void client_close(client_t *client);
+/** Sends a GET request on a new connection, which stays open, and waits for the response. */
+client_t *client_get(fixture_t *fixture, const char *target, const char *id, unsigned deadline_ms,
+                     unsigned *status);
 
-/** A route to one service, as JSON. */
-#define ROUTE_ONE(name, prefix, kind, service, timeout)                                            \
+/** JSON of a route that forwards to one service. */
+#define SERVICE_ROUTE_JSON(name, prefix, route_type, service, timeout_ms)                          \
     "{\"name\":\"" name "\",\"host\":\"h.example\",\"pathPrefix\":\"" prefix                       \
-    "\",\"routeType\":\"" kind "\",\"timeoutMs\":" #timeout                                        \
+    "\",\"routeType\":\"" route_type "\",\"timeoutMs\":" #timeout_ms                               \
     ",\"targetLatencyMs\":200,\"priority\":1,\"service\":\"" service "\",\"maxAttempts\":2}"
-/** A route over the services a, b and c, as JSON. */
-#define ROUTE_GATHER(name, prefix, least)                                                          \
+/** JSON of a route that gathers from the services a, b and c. */
+#define GATHER_ROUTE_JSON(name, prefix, min_coverage)                                              \
     "{\"name\":\"" name "\",\"host\":\"h.example\",\"pathPrefix\":\"" prefix                       \
     "\",\"routeType\":\"idempotent\",\"timeoutMs\":2000,\"targetLatencyMs\":200,\"priority\":1,"   \
-    "\"gather\":[\"a\",\"b\",\"c\"],\"maxAttempts\":2,\"topK\":3,\"minCoverage\":" #least "}"
+    "\"gather\":[\"a\",\"b\",\"c\"],\"maxAttempts\":2,\"topK\":3,\"minCoverage\":" #min_coverage   \
+    "}"
 
 #endif
--- a/tests/gateway/test_callers.c
+++ b/tests/gateway/test_callers.c
@@ -1,71 +1,79 @@
-/** What callers may send, and how their connections end. */
+/** Request validation, limits, readiness and the end of client connections. */
 #include "fixture.h"
 
 #include <string.h>
 
-#define HEAD "Host: h.example\r\nX-Request-Id: r\r\nX-Deadline-Ms: 1000\r\n"
+#define REQUIRED_FIELDS "Host: h.example\r\nX-Request-Id: r\r\nX-Deadline-Ms: 1000\r\n"
 
-static world_t *open_world(lab_searcher_t **searcher)
+static fixture_t *open_fixture(lab_searcher_t **searcher)
 {
-    world_t *world = world_open(NULL);
-    *searcher = world_add_searcher(world, "i-1", "a", "z1");
-    world_configure(world, 1, ROUTE_ONE("one", "/p/", "idempotent", "a", 1500));
-    return world;
+    fixture_t *fixture = fixture_open(NULL);
+    *searcher = fixture_add_searcher(fixture, "i-1", "a", "z1");
+    fixture_put_config(fixture, 1, SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500));
+    return fixture;
 }
 
-static unsigned status_of(world_t *world, const char *bytes)
+static unsigned fetch_status(fixture_t *fixture, const char *bytes)
 {
-    visit_t *visit = visit_open(world, world->callers_port);
-    visit_send(visit, bytes);
-    unsigned status = visit_await(world, visit);
-    visit_close(visit);
+    client_t *client = client_connect(fixture, fixture->callers_port);
+    client_send(client, bytes);
+    unsigned status = client_await_response(fixture, client);
+    client_close(client);
     return status;
 }
 
-/* Requests that two readers could read differently are refused, and reach no searcher. */
-static void test_ambiguous_requests_are_refused(void **state)
+/*
+ * Requests that two HTTP parsers could interpret differently (request smuggling) or that are
+ * malformed get 400 and are not forwarded.
+ */
+static void test_ambiguous_requests_are_rejected(void **state)
 {
     static const char *const requests[] = {
-        "POST /p/x HTTP/1.1\r\n" HEAD "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
-        "POST /p/x HTTP/1.1\r\n" HEAD "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
-        "POST /p/x HTTP/1.1\r\n" HEAD
+        "POST /p/x HTTP/1.1\r\n" REQUIRED_FIELDS
+        "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
+        "POST /p/x HTTP/1.1\r\n" REQUIRED_FIELDS
+        "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
+        "POST /p/x HTTP/1.1\r\n" REQUIRED_FIELDS
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "POST /p/x HTTP/1.1\r\n" HEAD "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
-        "POST /p/x HTTP/1.1\r\n" HEAD "Content-Length: -1\r\n\r\n",
-        "POST /p/x HTTP/1.1\r\n" HEAD "Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
+        "POST /p/x HTTP/1.1\r\n" REQUIRED_FIELDS "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
+        "POST /p/x HTTP/1.1\r\n" REQUIRED_FIELDS "Content-Length: -1\r\n\r\n",
+        "POST /p/x HTTP/1.1\r\n" REQUIRED_FIELDS
+        "Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
         "GET /p/x HTTP/1.1\nHost: h.example\nX-Request-Id: r\n\n",
-        "GET /p/x HTTP/1.1\r\n" HEAD "X-A : b\r\n\r\n",
-        "GET /p/x HTTP/1.1\r\n" HEAD "Host: other.example\r\n\r\n",
+        "GET /p/x HTTP/1.1\r\n" REQUIRED_FIELDS "X-A : b\r\n\r\n",
+        "GET /p/x HTTP/1.1\r\n" REQUIRED_FIELDS "Host: other.example\r\n\r\n",
         "GET /p/x HTTP/1.1\r\nX-Request-Id: r\r\n\r\n",
         "GET /p/x HTTP/1.1\r\nHost: h.example\r\n\r\n",
         "not a request\r\n\r\n",
     };
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_world(&searcher);
+    fixture_t *fixture = open_fixture(&searcher);
     for (size_t i = 0; i < G_N_ELEMENTS(requests); i++) {
-        unsigned status = status_of(world, requests[i]);
+        unsigned status = fetch_status(fixture, requests[i]);
         if (status != 400) {
-            print_error("request %zu: %u\n%s\n", i, status, requests[i]);
+            print_error("request %zu: expected status 400, got %u\n%s\n", i, status, requests[i]);
         }
         assert_int_equal(status, 400);
     }
     assert_int_equal(searcher->runs, 0);
 }
 
-static void test_limits(void **state)
+static void test_request_size_limits(void **state)
 {
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_world(&searcher);
+    fixture_t *fixture = open_fixture(&searcher);
     char *filler = g_strnfill(5000, 'a');
-    char *large_head = g_strdup_printf("GET /p/x HTTP/1.1\r\n" HEAD "X-A: %s\r\n\r\n", filler);
-    assert_int_equal(status_of(world, large_head), 431);
-    assert_int_equal(
-        status_of(world, "POST /p/x HTTP/1.1\r\n" HEAD "Content-Length: 65537\r\n\r\n"), 413);
+    char *large_head =
+        g_strdup_printf("GET /p/x HTTP/1.1\r\n" REQUIRED_FIELDS "X-A: %s\r\n\r\n", filler);
+    assert_int_equal(fetch_status(fixture, large_head), 431);
+    assert_int_equal(fetch_status(fixture, "POST /p/x HTTP/1.1\r\n" REQUIRED_FIELDS
+                                           "Content-Length: 65537\r\n\r\n"),
+                     413);
     char *chunk = g_strnfill(66000, 'a');
-    char *large_body = g_strdup_printf("POST /p/x HTTP/1.1\r\n" HEAD
+    char *large_body = g_strdup_printf("POST /p/x HTTP/1.1\r\n" REQUIRED_FIELDS
                                        "Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n",
                                        66000, chunk);
-    assert_int_equal(status_of(world, large_body), 413);
+    assert_int_equal(fetch_status(fixture, large_body), 413);
     assert_int_equal(searcher->runs, 0);
     g_free(filler);
     g_free(large_head);
@@ -73,114 +81,115 @@
     g_free(large_body);
 }
 
-static void test_head_that_dawdles(void **state)
+static void test_slow_request_head_times_out(void **state)
 {
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_world(&searcher);
-    visit_t *visit = visit_open(world, world->callers_port);
-    visit_send(visit, "GET /p/x HTT");
+    fixture_t *fixture = open_fixture(&searcher);
+    client_t *client = client_connect(fixture, fixture->callers_port);
+    client_send(client, "GET /p/x HTT");
     for (int i = 0; i < 18; i++) {
-        world_run_ms(world, 200);
-        ts_gateway_sweep(&world->gateway);
+        fixture_run_ms(fixture, 200);
+        ts_gateway_sweep(&fixture->gateway);
     }
-    assert_int_equal(visit->answer.parser.status_code, 408);
+    assert_int_equal(client->response.parser.status_code, 408);
 }
 
-static void test_requests_in_a_row_on_one_connection(void **state)
+static void test_pipelined_requests(void **state)
 {
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_world(&searcher);
-    visit_t *visit = visit_open(world, world->callers_port);
-    visit_send(visit, "GET /p/1 HTTP/1.1\r\n" HEAD "\r\nGET /p/2 HTTP/1.1\r\n" HEAD "\r\n");
-    assert_true(world_run_until(world, &searcher->runs, 2));
-    world_run_ms(world, 20);
+    fixture_t *fixture = open_fixture(&searcher);
+    client_t *client = client_connect(fixture, fixture->callers_port);
+    client_send(client, "GET /p/1 HTTP/1.1\r\n" REQUIRED_FIELDS
+                        "\r\nGET /p/2 HTTP/1.1\r\n" REQUIRED_FIELDS "\r\n");
+    assert_true(fixture_run_until(fixture, &searcher->runs, 2));
+    fixture_run_ms(fixture, 20);
     assert_true(g_str_has_prefix(g_ptr_array_index(searcher->heads, 0), "GET /p/1"));
     assert_true(g_str_has_prefix(g_ptr_array_index(searcher->heads, 1), "GET /p/2"));
-    const char *second = strstr(visit->received->str + 5, "HTTP/1.1 200");
-    assert_non_null(second);
-    assert_false(visit->is_ended);
+    const char *second_response = strstr(client->received->str + 5, "HTTP/1.1 200");
+    assert_non_null(second_response);
+    assert_false(client->is_closed_by_peer);
 }
 
-static void test_expect_is_answered(void **state)
+static void test_expect_100_continue(void **state)
 {
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_world(&searcher);
-    visit_t *visit = visit_open(world, world->callers_port);
-    visit_send(visit,
-               "POST /p/x HTTP/1.1\r\n" HEAD "Expect: 100-continue\r\nContent-Length: 3\r\n\r\n");
-    world_run_ms(world, 30);
-    assert_true(g_str_has_prefix(visit->received->str, "HTTP/1.1 100 "));
-    visit_send(visit, "abc");
-    assert_int_equal(visit_await(world, visit), 200);
+    fixture_t *fixture = open_fixture(&searcher);
+    client_t *client = client_connect(fixture, fixture->callers_port);
+    client_send(client, "POST /p/x HTTP/1.1\r\n" REQUIRED_FIELDS
+                        "Expect: 100-continue\r\nContent-Length: 3\r\n\r\n");
+    fixture_run_ms(fixture, 30);
+    assert_true(g_str_has_prefix(client->received->str, "HTTP/1.1 100 "));
+    client_send(client, "abc");
+    assert_int_equal(client_await_response(fixture, client), 200);
     assert_null(strstr(g_ptr_array_index(searcher->heads, 0), "\r\nExpect:"));
 }
 
 static void test_readiness(void **state)
 {
-    world_t *world = world_open(NULL);
-    visit_t *visit = visit_open(world, world->ready_port);
-    visit_send(visit, "GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_int_equal(visit_await(world, visit), 503);
-    world_configure(world, 1, ROUTE_ONE("one", "/p/", "idempotent", "a", 1500));
-    visit_send(visit, "GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_int_equal(visit_await(world, visit), 200);
-    ts_gateway_leave(&world->gateway);
-    visit_send(visit, "GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_int_equal(visit_await(world, visit), 503);
+    fixture_t *fixture = fixture_open(NULL);
+    client_t *client = client_connect(fixture, fixture->ready_port);
+    client_send(client, "GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_int_equal(client_await_response(fixture, client), 503);
+    fixture_put_config(fixture, 1, SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500));
+    client_send(client, "GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_int_equal(client_await_response(fixture, client), 200);
+    ts_gateway_leave(&fixture->gateway);
+    client_send(client, "GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_int_equal(client_await_response(fixture, client), 503);
 }
 
-/* A reload replaces every text of the settings; nothing may still point at the old ones. */
-static void test_reload_keeps_distances(void **state)
+/* A reload frees the strings of the old settings; no pointer to them may remain in use. */
+static void test_settings_reload_keeps_distances(void **state)
 {
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_world(&searcher);
+    fixture_t *fixture = open_fixture(&searcher);
     const char *text = "name: test\nzone: z1\ndialect: platform\ncallers: 127.0.0.1:1\n"
                        "ready: 127.0.0.1:2\nstore: 127.0.0.1:%u\n"
                        "zones: [{zone: z1, region: r1}, {zone: z2, region: r1}]\n";
-    char *settings = g_strdup_printf(text, world->store_port);
+    char *settings = g_strdup_printf(text, fixture->store_port);
     ts_problems_t problems;
     ts_problems_init(&problems);
-    ts_gateway_set_settings(&world->gateway,
+    ts_gateway_set_settings(&fixture->gateway,
                             ts_gateway_settings_load(settings, strlen(settings), &problems));
-    world_add_searcher(world, "i-2", "a", "z2");
-    const ts_instance_t *instance = ts_registry_present(world->gateway.registry, "i-2");
+    fixture_add_searcher(fixture, "i-2", "a", "z2");
+    const ts_instance_t *instance = ts_registry_present(fixture->gateway.registry, "i-2");
     assert_non_null(instance);
     assert_int_equal(instance->distance, TS_DISTANCE_REGION);
     unsigned status = 0;
-    visit_get(world, "/p/x", "r", 1000, &status);
+    client_get(fixture, "/p/x", "r", 1000, &status);
     assert_int_equal(status, 200);
     ts_problems_clear(&problems);
     g_free(settings);
 }
 
-static void test_leaving_ends_connections_after_answers(void **state)
+static void test_shutdown_closes_connections_after_responses(void **state)
 {
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_world(&searcher);
+    fixture_t *fixture = open_fixture(&searcher);
     searcher->delay_ms = 100;
-    visit_t *visit = visit_open(world, world->callers_port);
-    visit_send(visit, "GET /p/1 HTTP/1.1\r\n" HEAD "\r\n");
-    assert_true(world_run_until(world, &searcher->runs, 1));
-    ts_gateway_leave(&world->gateway);
-    assert_int_equal(visit_await(world, visit), 200);
-    assert_string_equal(ts_http_message_find(&visit->answer, "Connection"), "close");
+    client_t *client = client_connect(fixture, fixture->callers_port);
+    client_send(client, "GET /p/1 HTTP/1.1\r\n" REQUIRED_FIELDS "\r\n");
+    assert_true(fixture_run_until(fixture, &searcher->runs, 1));
+    ts_gateway_leave(&fixture->gateway);
+    assert_int_equal(client_await_response(fixture, client), 200);
+    assert_string_equal(ts_http_message_find(&client->response, "Connection"), "close");
     unsigned status = 0;
-    visit_t *late = visit_get(world, "/p/2", "r2", 1000, &status);
+    client_t *late_client = client_get(fixture, "/p/2", "r2", 1000, &status);
     assert_int_equal(status, 200);
-    assert_string_equal(ts_http_message_find(&late->answer, "Connection"), "close");
+    assert_string_equal(ts_http_message_find(&late_client->response, "Connection"), "close");
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_ambiguous_requests_are_refused),
-        cmocka_unit_test(test_limits),
-        cmocka_unit_test(test_head_that_dawdles),
-        cmocka_unit_test(test_requests_in_a_row_on_one_connection),
-        cmocka_unit_test(test_expect_is_answered),
+        cmocka_unit_test(test_ambiguous_requests_are_rejected),
+        cmocka_unit_test(test_request_size_limits),
+        cmocka_unit_test(test_slow_request_head_times_out),
+        cmocka_unit_test(test_pipelined_requests),
+        cmocka_unit_test(test_expect_100_continue),
         cmocka_unit_test(test_readiness),
-        cmocka_unit_test(test_reload_keeps_distances),
-        cmocka_unit_test(test_leaving_ends_connections_after_answers),
+        cmocka_unit_test(test_settings_reload_keeps_distances),
+        cmocka_unit_test(test_shutdown_closes_connections_after_responses),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/gateway/test_churn.c
+++ b/tests/gateway/test_churn.c
@@ -1,7 +1,7 @@
 /**
- * Searchers that come, misbehave, drain, go and are forgotten while requests run, by fixed seeds:
- * no memory is used after it was freed (run it with SANITIZE=address), every request ends, and
- * counts return to zero.
+ * Searchers are added, fail, drain, leave and expire from the registry while requests run, in an
+ * order drawn from fixed seeds. Guards against use after free (build with SANITIZE=address),
+ * requests that never finish, and a count of active requests that does not return to zero.
  */
 #include "fixture.h"
 
@@ -10,8 +10,9 @@
 #define SERVICES 3U
 #define ROUNDS 40
 #define REQUESTS 12
-#define LEFT_MAX 400
-#define JUMP_US (11 * TS_US_PER_S)
+/* Same as X-Deadline-Ms of the requests: none is active after this time. */
+#define REQUEST_DEADLINE_MS 400
+#define CLOCK_STEP_US (11 * TS_US_PER_S)
 
 static ts_time_us_t clock_offset_us;
 
@@ -21,10 +22,10 @@
 }
 
 typedef struct churn {
-    world_t *world;
+    fixture_t *fixture;
     GRand *random;
-    GPtrArray *searchers; /* of lab_searcher_t that are listed */
-    unsigned made;
+    GPtrArray *searchers; /* of lab_searcher_t, registered in the store */
+    unsigned searchers_created;
 } churn_t;
 
 static const char *service_name(unsigned index)
@@ -36,10 +37,11 @@
 static void add_searcher(churn_t *churn, unsigned service)
 {
     char id[16];
-    g_snprintf(id, sizeof(id), "i-%u", churn->made);
-    const char *zone = churn->made % 3 == 0 ? "z2" : "z1";
-    churn->made++;
-    lab_searcher_t *searcher = world_enter_searcher(churn->world, id, service_name(service), zone);
+    g_snprintf(id, sizeof(id), "i-%u", churn->searchers_created);
+    const char *zone = churn->searchers_created % 3 == 0 ? "z2" : "z1";
+    churn->searchers_created++;
+    lab_searcher_t *searcher =
+        fixture_register_searcher(churn->fixture, id, service_name(service), zone);
     g_ptr_array_add(churn->searchers, searcher);
 }
 
@@ -49,87 +51,87 @@
     lab_searcher_t *searcher = g_ptr_array_index(churn->searchers, index);
     char *key = g_strdup_printf("servers/%s", searcher->id);
     if (g_rand_boolean(churn->random)) {
-        world_set_draining(churn->world, searcher);
+        fixture_set_draining(churn->fixture, searcher);
     }
-    lab_store_delete(churn->world->store, key);
+    lab_store_delete(churn->fixture->store, key);
     searcher->behaviour = LAB_HANGS;
     g_ptr_array_remove_index_fast(churn->searchers, index);
     g_free(key);
     add_searcher(churn, (unsigned)g_rand_int(churn->random));
 }
 
-static void misbehave(churn_t *churn)
+static void randomize_behaviour(churn_t *churn)
 {
     for (guint i = 0; i < churn->searchers->len; i++) {
         lab_searcher_t *searcher = g_ptr_array_index(churn->searchers, i);
-        bool is_good = g_rand_int_range(churn->random, 0, 3) > 0;
+        bool is_healthy = g_rand_int_range(churn->random, 0, 3) > 0;
         searcher->behaviour =
-            is_good ? LAB_ANSWERS
-                    : (lab_behaviour_t)g_rand_int_range(churn->random, 0, LAB_CLOSES_AFTER + 1);
+            is_healthy ? LAB_ANSWERS
+                       : (lab_behaviour_t)g_rand_int_range(churn->random, 0, LAB_CLOSES_AFTER + 1);
         searcher->delay_ms = (unsigned)g_rand_int_range(churn->random, 0, 40);
     }
 }
 
-static void send_requests(churn_t *churn, visit_t **visits)
+static void start_requests(churn_t *churn, client_t **clients)
 {
     for (int i = 0; i < REQUESTS; i++) {
         char text[200];
-        visits[i] = visit_open(churn->world, churn->world->callers_port);
+        clients[i] = client_connect(churn->fixture, churn->fixture->callers_port);
         g_snprintf(text, sizeof(text),
                    "GET /%c/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r%d\r\n"
                    "X-Deadline-Ms: 400\r\n\r\n",
                    i % 2 == 0 ? 'g' : 'p', g_rand_int_range(churn->random, 0, 1000000));
-        visit_send(visits[i], text);
+        client_send(clients[i], text);
     }
 }
 
-/* Some callers leave, the others wait for their answers. */
-static void end_requests(churn_t *churn, visit_t **visits)
+/* About a quarter of the clients disconnect; the others wait for their responses. */
+static void finish_requests(churn_t *churn, client_t **clients)
 {
-    world_run_ms(churn->world, (unsigned)g_rand_int_range(churn->random, 1, 60));
+    fixture_run_ms(churn->fixture, (unsigned)g_rand_int_range(churn->random, 1, 60));
     for (int i = 0; i < REQUESTS; i++) {
         if (g_rand_int_range(churn->random, 0, 4) > 0) {
-            assert_true(visit_await(churn->world, visits[i]) != 0);
+            assert_true(client_await_response(churn->fixture, clients[i]) != 0);
         }
-        visit_close(visits[i]);
+        client_close(clients[i]);
     }
 }
 
 static void run_churn(uint32_t seed)
 {
-    churn_t churn = {.world = world_open(NULL),
+    churn_t churn = {.fixture = fixture_open(NULL),
                      .random = g_rand_new_with_seed(seed),
                      .searchers = g_ptr_array_new()};
     for (unsigned i = 0; i < 3 * SERVICES; i++) {
         add_searcher(&churn, i);
     }
-    world_configure(
-        churn.world, 1,
-        ROUTE_GATHER("all", "/g/", 0.6) "," ROUTE_ONE("one", "/p/", "idempotent", "a", 1500));
+    fixture_put_config(churn.fixture, 1,
+                       GATHER_ROUTE_JSON("all", "/g/", 0.6) "," SERVICE_ROUTE_JSON(
+                           "one", "/p/", "idempotent", "a", 1500));
     for (int round = 0; round < ROUNDS; round++) {
-        visit_t *visits[REQUESTS];
-        misbehave(&churn);
-        send_requests(&churn, visits);
+        client_t *clients[REQUESTS];
+        randomize_behaviour(&churn);
+        start_requests(&churn, clients);
         if (round % 3 == 0) {
             remove_searcher(&churn);
         }
         if (round % 5 == 0) {
-            clock_offset_us += JUMP_US; /* what has left is forgotten; deadlines pass */
-            ts_gateway_sweep(&churn.world->gateway);
+            clock_offset_us += CLOCK_STEP_US; /* removed searchers and deadlines expire */
+            ts_gateway_sweep(&churn.fixture->gateway);
         }
-        end_requests(&churn, visits);
-        ts_gateway_sweep(&churn.world->gateway);
+        finish_requests(&churn, clients);
+        ts_gateway_sweep(&churn.fixture->gateway);
     }
-    world_run_ms(churn.world, LEFT_MAX);
-    clock_offset_us += JUMP_US;
-    ts_gateway_sweep(&churn.world->gateway);
-    world_run_ms(churn.world, LEFT_MAX);
-    assert_int_equal(churn.world->gateway.requests, 0);
+    fixture_run_ms(churn.fixture, REQUEST_DEADLINE_MS);
+    clock_offset_us += CLOCK_STEP_US;
+    ts_gateway_sweep(&churn.fixture->gateway);
+    fixture_run_ms(churn.fixture, REQUEST_DEADLINE_MS);
+    assert_int_equal(churn.fixture->gateway.requests, 0);
     g_rand_free(churn.random);
     g_ptr_array_unref(churn.searchers);
 }
 
-static void test_churn(void **state)
+static void test_searcher_churn(void **state)
 {
     ts_clock_set_source(shifted_now_us, NULL);
     for (uint32_t seed = 1; seed <= 3; seed++) {
@@ -141,7 +143,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_churn),
+        cmocka_unit_test(test_searcher_churn),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/gateway/test_crashing_requests.c
+++ b/tests/gateway/test_crashing_requests.c
@@ -1,7 +1,7 @@
 /**
- * A request that ends each back end that runs it, and comes again at any node: how many back ends
- * end, and what becomes of everybody else's requests. Several nodes with real messages between
- * them.
+ * A fatal request crashes every backend that runs it and is sent again to any node. Checks that the
+ * quarantine bounds the number of crashed backends and that other requests are still served, with
+ * several nodes that exchange real messages.
  */
 #include "fixture.h"
 
@@ -14,21 +14,20 @@
 #define NODES 3
 #define SHARDS 3
 #define REPLICAS 3
-/* What a back end works on each request. */
-#define WORK_MS 20
-#define TRIES 8
-/* A fatal request may end so many back ends beyond those of its first gather. */
-#define ENDS_MORE 3
-#define FATAL "/g/fatal"
+#define SERVICE_TIME_MS 20
+#define ATTEMPTS 8
+/* Backends that a fatal request may crash in addition to those of its first attempt. */
+#define EXTRA_CRASHES_MAX 3
+#define FATAL_TARGET "/g/fatal"
 
 typedef struct fleet {
-    world_t *world;
+    fixture_t *fixture;
     ts_gateway_t *nodes[NODES];
     unsigned ports[NODES];
-    lab_searcher_t *searchers[SHARDS][REPLICAS]; /* the latest incarnations */
-    unsigned starts;                             /* of searchers, for their ids */
-    unsigned ended;
-    unsigned requests;
+    lab_searcher_t *searchers[SHARDS][REPLICAS]; /* current incarnations */
+    unsigned searchers_started;                  /* number of the next searcher id */
+    unsigned crashed;
+    unsigned requests_sent;
 } fleet_t;
 
 static const char *const services[SHARDS] = {"a", "b", "c"};
@@ -37,143 +36,147 @@
 static void start_searcher(fleet_t *fleet, unsigned shard, unsigned replica)
 {
     char id[16];
-    g_snprintf(id, sizeof(id), "i-%u", fleet->starts++);
+    g_snprintf(id, sizeof(id), "i-%u", fleet->searchers_started++);
     lab_searcher_t *searcher =
-        world_enter_searcher(fleet->world, id, services[shard], zones[replica % 2]);
-    searcher->crashes_on = FATAL;
-    searcher->delay_ms = WORK_MS;
+        fixture_register_searcher(fleet->fixture, id, services[shard], zones[replica % 2]);
+    searcher->crashes_on = FATAL_TARGET;
+    searcher->delay_ms = SERVICE_TIME_MS;
     fleet->searchers[shard][replica] = searcher;
 }
 
-/* Counts what has ended since the last time, and starts another in the place of each. */
-static void replace_ended(fleet_t *fleet)
+/* Counts the searchers that crashed since the last call and replaces each by a new one. */
+static void replace_crashed(fleet_t *fleet)
 {
     for (unsigned i = 0; i < SHARDS; i++) {
         for (unsigned j = 0; j < REPLICAS; j++) {
             if (!fleet->searchers[i][j]->has_ended)
                 continue;
             char *key = g_strdup_printf("servers/%s", fleet->searchers[i][j]->id);
-            lab_store_delete(fleet->world->store, key);
+            lab_store_delete(fleet->fixture->store, key);
             g_free(key);
-            fleet->ended++;
+            fleet->crashed++;
             start_searcher(fleet, i, j);
         }
     }
 }
 
-static void await_all(fleet_t *fleet)
+static void await_all_synced(fleet_t *fleet)
 {
     for (int i = 0; i < NODES; i++)
-        assert_true(world_await_knowledge(fleet->world, fleet->nodes[i], 1, SHARDS * REPLICAS));
+        assert_true(fixture_await_synced(fleet->fixture, fleet->nodes[i], 1, SHARDS * REPLICAS));
 }
 
-static ts_gateway_t *add_node(fleet_t *fleet, unsigned place, unsigned seed_port)
+static ts_gateway_t *add_node(fleet_t *fleet, unsigned index, unsigned seed_port)
 {
     char name[8];
-    g_snprintf(name, sizeof(name), "n%u", place);
-    unsigned peers_port = place == 0 ? seed_port : world_next_port();
-    fleet->nodes[place] = world_add_gateway(fleet->world, name, zones[place % 2], peers_port,
-                                            seed_port, fleet->world->store_port);
-    fleet->ports[place] = (unsigned)atoi(strchr(fleet->nodes[place]->settings->callers, ':') + 1);
-    return fleet->nodes[place];
+    g_snprintf(name, sizeof(name), "n%u", index);
+    unsigned peers_port = index == 0 ? seed_port : fixture_next_port();
+    fleet->nodes[index] = fixture_add_gateway(fleet->fixture, name, zones[index % 2], peers_port,
+                                              seed_port, fleet->fixture->store_port);
+    fleet->ports[index] = (unsigned)atoi(strchr(fleet->nodes[index]->settings->callers, ':') + 1);
+    return fleet->nodes[index];
 }
 
 static fleet_t open_fleet(const char *routes)
 {
-    fleet_t fleet = {.world = world_open(NULL)};
-    unsigned seed_port = world_next_port();
+    fleet_t fleet = {.fixture = fixture_open(NULL)};
+    unsigned seed_port = fixture_next_port();
     for (unsigned i = 0; i < SHARDS; i++) {
         for (unsigned j = 0; j < REPLICAS; j++)
             start_searcher(&fleet, i, j);
     }
-    world_configure(fleet.world, 1, routes);
+    fixture_put_config(fleet.fixture, 1, routes);
     for (unsigned i = 0; i < NODES; i++)
         add_node(&fleet, i, seed_port);
-    await_all(&fleet);
+    await_all_synced(&fleet);
     for (int i = 0; i < 300 && ts_peers_count(fleet.nodes[NODES - 1]->peers) < NODES; i++)
-        world_run_ms(fleet.world, 10);
-    world_run_ms(fleet.world, 1000); // views settle
+        fixture_run_ms(fleet.fixture, 10);
+    fixture_run_ms(fleet.fixture, 1000); // until membership views are stable
     return fleet;
 }
 
-/* One request at a node, without waiting for its answer. */
-static visit_t *ask(fleet_t *fleet, unsigned node, const char *target)
+/* Sends a request to a node without waiting for the response. */
+static client_t *send_request(fleet_t *fleet, unsigned node, const char *target)
 {
-    visit_t *visit = visit_open(fleet->world, fleet->ports[node]);
+    client_t *client = client_connect(fleet->fixture, fleet->ports[node]);
     char *text = g_strdup_printf("GET %s HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: q%u\r\n"
                                  "X-Deadline-Ms: 1400\r\n\r\n",
-                                 target, fleet->requests++);
-    visit_send(visit, text);
+                                 target, fleet->requests_sent++);
+    client_send(client, text);
     g_free(text);
-    return visit;
+    return client;
 }
 
-static unsigned await_status(fleet_t *fleet, visit_t *visit)
+static unsigned await_status(fleet_t *fleet, client_t *client)
 {
-    unsigned status = visit_await(fleet->world, visit);
-    visit_close(visit);
+    unsigned status = client_await_response(fleet->fixture, client);
+    client_close(client);
     return status;
 }
 
-static unsigned status_of(fleet_t *fleet, unsigned node, const char *target)
+static unsigned fetch_status(fleet_t *fleet, unsigned node, const char *target)
 {
-    return await_status(fleet, ask(fleet, node, target));
+    return await_status(fleet, send_request(fleet, node, target));
 }
 
-/* The fatal request comes again and again, at each node in turn; all is started anew between. */
-static void try_fatal(fleet_t *fleet, const char *target, unsigned *first_ended)
+/* Sends the fatal request to each node in turn; crashed searchers are replaced after each. */
+static void repeat_fatal_request(fleet_t *fleet, const char *target, unsigned *first_crashed)
 {
-    for (unsigned i = 0; i < TRIES; i++) {
-        assert_int_not_equal(status_of(fleet, i % NODES, target), 200);
-        world_run_ms(fleet->world, 150); // what was left behind ends too
-        replace_ended(fleet);
-        await_all(fleet);
+    for (unsigned i = 0; i < ATTEMPTS; i++) {
+        assert_int_not_equal(fetch_status(fleet, i % NODES, target), 200);
+        fixture_run_ms(fleet->fixture, 150); // abandoned sends crash their searchers too
+        replace_crashed(fleet);
+        await_all_synced(fleet);
         if (i == 0)
-            *first_ended = fleet->ended;
+            *first_crashed = fleet->crashed;
     }
 }
 
 #define ROUTES                                                                                     \
-    ROUTE_GATHER("all", "/g/", 0.9) "," ROUTE_ONE("one", "/g/fatal/one/", "idempotent", "a", 1500)
+    GATHER_ROUTE_JSON("all", "/g/", 0.9)                                                           \
+    "," SERVICE_ROUTE_JSON("one", "/g/fatal/one/", "idempotent", "a", 1500)
 
-static void test_gather_is_contained(void **state)
+static void test_fatal_gather_request_is_contained(void **state)
 {
     fleet_t fleet = open_fleet(ROUTES);
-    unsigned first = 0;
-    try_fatal(&fleet, FATAL, &first);
-    if (first > SHARDS + 1 || fleet.ended > SHARDS + ENDS_MORE)
-        print_error("%u ended under the first try, %u in all\n", first, fleet.ended);
-    assert_true(first >= SHARDS && first <= SHARDS + 1);
-    assert_true(fleet.ended <= SHARDS + ENDS_MORE);
+    unsigned crashed_first = 0;
+    repeat_fatal_request(&fleet, FATAL_TARGET, &crashed_first);
+    if (crashed_first > SHARDS + 1 || fleet.crashed > SHARDS + EXTRA_CRASHES_MAX)
+        print_error("%u backends crashed on the first attempt, %u in total\n", crashed_first,
+                    fleet.crashed);
+    assert_true(crashed_first >= SHARDS && crashed_first <= SHARDS + 1);
+    assert_true(fleet.crashed <= SHARDS + EXTRA_CRASHES_MAX);
 }
 
-static void test_forwarded_request_is_contained(void **state)
+static void test_fatal_forwarded_request_is_contained(void **state)
 {
     fleet_t fleet = open_fleet(ROUTES);
-    unsigned first = 0;
-    try_fatal(&fleet, "/g/fatal/one/x", &first);
-    if (fleet.ended > 1 + ENDS_MORE)
-        print_error("%u ended\n", fleet.ended);
-    assert_true(fleet.ended >= 1 && fleet.ended <= 1 + ENDS_MORE);
+    unsigned crashed_first = 0;
+    repeat_fatal_request(&fleet, "/g/fatal/one/x", &crashed_first);
+    if (fleet.crashed > 1 + EXTRA_CRASHES_MAX)
+        print_error("%u backends crashed\n", fleet.crashed);
+    assert_true(fleet.crashed >= 1 && fleet.crashed <= 1 + EXTRA_CRASHES_MAX);
 }
 
-/* Once it is known nothing of it is sent, its caller is told at once that nothing ran. */
-static void test_refusal_comes_at_once(void **state)
+/* A quarantined request is not forwarded; the client gets 503 without delay. */
+static void test_quarantined_request_is_refused_immediately(void **state)
 {
     fleet_t fleet = open_fleet(ROUTES);
-    unsigned first = 0;
-    try_fatal(&fleet, FATAL, &first);
-    unsigned ended = fleet.ended;
+    unsigned crashed_first = 0;
+    repeat_fatal_request(&fleet, FATAL_TARGET, &crashed_first);
+    unsigned crashed = fleet.crashed;
     ts_time_us_t begun_us = ts_clock_now_us();
-    visit_t *visit = ask(&fleet, 1, FATAL);
-    assert_int_equal(visit_await(fleet.world, visit), 503);
+    client_t *client = send_request(&fleet, 1, FATAL_TARGET);
+    assert_int_equal(client_await_response(fleet.fixture, client), 503);
     assert_true(ts_clock_now_us() - begun_us < 60 * TS_US_PER_MS);
-    assert_non_null(strstr(visit->answer.body->str, "quarantined"));
-    assert_null(ts_http_message_find(&visit->answer, "Retry-After")); // coming back is of no use
-    world_run_ms(fleet.world, 100);
-    replace_ended(&fleet);
-    assert_int_equal(fleet.ended, ended);
-    GString *metrics = g_string_new(NULL); // what is held is listed, without what it asked for
+    assert_non_null(strstr(client->response.body->str, "quarantined"));
+    // a retry would be refused too
+    assert_null(ts_http_message_find(&client->response, "Retry-After"));
+    fixture_run_ms(fleet.fixture, 100);
+    replace_crashed(&fleet);
+    assert_int_equal(fleet.crashed, crashed);
+    // metrics list the digest of a quarantined request, not its target
+    GString *metrics = g_string_new(NULL);
     ts_gateway_write_metrics(fleet.nodes[1], metrics);
     assert_non_null(strstr(metrics->str, "tealspar_quarantine_held_seconds{digest=\""));
     assert_null(strstr(metrics->str, "fatal"));
@@ -181,83 +184,92 @@
 }
 
 /*
- * Requests that are aboard when back ends end, again and again under other fatal requests, are
- * served when they come again.
+ * Requests that are in flight on a backend when a fatal request crashes it are served when they are
+ * sent again, even if that happened to them several times.
  */
-static void test_passengers_are_served(void **state)
+static void test_requests_in_flight_at_crashes_are_served(void **state)
 {
     fleet_t fleet = open_fleet(ROUTES);
     char target[24];
-    int64_t broken = ts_counter_value(TS_COUNTER_SENDS_BROKEN);
+    int64_t sends_broken = ts_counter_value(TS_COUNTER_SENDS_BROKEN);
     for (unsigned i = 0; i < 4; i++) {
-        visit_t *visits[NODES];
-        g_snprintf(target, sizeof(target), FATAL "/%u", i);
-        visit_t *fatal = ask(&fleet, i % NODES, target);
-        world_run_ms(fleet.world, 3);
+        client_t *clients[NODES];
+        g_snprintf(target, sizeof(target), FATAL_TARGET "/%u", i);
+        client_t *fatal = send_request(&fleet, i % NODES, target);
+        fixture_run_ms(fleet.fixture, 3);
         for (unsigned j = 0; j < NODES; j++) {
             g_snprintf(target, sizeof(target), "/g/p%u", j);
-            visits[j] = ask(&fleet, j, target);
+            clients[j] = send_request(&fleet, j, target);
         }
         await_status(&fleet, fatal);
         for (unsigned j = 0; j < NODES; j++)
-            await_status(&fleet, visits[j]);
-        world_run_ms(fleet.world, 150);
-        replace_ended(&fleet);
-        await_all(&fleet);
+            await_status(&fleet, clients[j]);
+        fixture_run_ms(fleet.fixture, 150);
+        replace_crashed(&fleet);
+        await_all_synced(&fleet);
         for (unsigned j = 0; j < NODES; j++) {
             g_snprintf(target, sizeof(target), "/g/p%u", j);
-            assert_int_equal(status_of(&fleet, (j + 1) % NODES, target), 200);
+            assert_int_equal(fetch_status(&fleet, (j + 1) % NODES, target), 200);
         }
     }
-    broken = ts_counter_value(TS_COUNTER_SENDS_BROKEN) - broken;
-    assert_true(broken > fleet.ended + 4); // more broke than those of the fatal ones
+    sends_broken = ts_counter_value(TS_COUNTER_SENDS_BROKEN) - sends_broken;
+    // more sends broke than those of the fatal requests
+    assert_true(sends_broken > fleet.crashed + 4);
 }
 
-/* A node that starts when all is over goes by the verdict too. */
-static void test_starting_node_knows(void **state)
+/* A node that joins later receives the quarantine entry and refuses the request too. */
+static void test_new_node_receives_quarantine(void **state)
 {
     fleet_t fleet = open_fleet(ROUTES);
-    unsigned first = 0;
-    try_fatal(&fleet, FATAL, &first);
-    unsigned ended = fleet.ended;
+    unsigned crashed_first = 0;
+    repeat_fatal_request(&fleet, FATAL_TARGET, &crashed_first);
+    unsigned crashed = fleet.crashed;
     unsigned seed_port = (unsigned)atoi(strchr(fleet.nodes[0]->settings->peers, ':') + 1);
-    (void)add_node(&fleet, NODES - 1, seed_port); // in the place of the last one, which stays
-    await_all(&fleet);
-    world_run_ms(fleet.world, 3000); // it compares once a second
-    assert_int_equal(status_of(&fleet, NODES - 1, FATAL), 503);
-    world_run_ms(fleet.world, 100);
-    replace_ended(&fleet);
-    assert_int_equal(fleet.ended, ended);
+    // takes the array slot of the last node, which keeps running
+    (void)add_node(&fleet, NODES - 1, seed_port);
+    await_all_synced(&fleet);
+    fixture_run_ms(fleet.fixture, 3000); // quarantines are compared once a second
+    assert_int_equal(fetch_status(&fleet, NODES - 1, FATAL_TARGET), 503);
+    fixture_run_ms(fleet.fixture, 100);
+    replace_crashed(&fleet);
+    assert_int_equal(fleet.crashed, crashed);
 }
 
-/* Nodes that get it at the same moment try it one after the other: its ends stay as few. */
-static void test_tries_at_once(void **state)
+/*
+ * Nodes that receive a suspect request at the same time try it one after the other, so that it
+ * crashes at most one more backend.
+ */
+static void test_concurrent_attempts_are_serialized(void **state)
 {
     fleet_t fleet = open_fleet(ROUTES);
-    assert_int_not_equal(status_of(&fleet, 0, FATAL), 200);
-    world_run_ms(fleet.world, 150);
-    replace_ended(&fleet);
-    await_all(&fleet);
-    unsigned first = fleet.ended;
+    assert_int_not_equal(fetch_status(&fleet, 0, FATAL_TARGET), 200);
+    fixture_run_ms(fleet.fixture, 150);
+    replace_crashed(&fleet);
+    await_all_synced(&fleet);
+    unsigned crashed_first = fleet.crashed;
     for (unsigned i = 0; i < 4; i++) {
-        visit_t *visits[NODES];
+        client_t *clients[NODES];
         for (unsigned j = 0; j < NODES; j++) {
-            visits[j] = ask(&fleet, j, FATAL);
-            world_run_ms(fleet.world, 4); // more than a message between nodes takes here
+            clients[j] = send_request(&fleet, j, FATAL_TARGET);
+            fixture_run_ms(fleet.fixture, 4); // longer than a message between nodes takes here
         }
         for (unsigned j = 0; j < NODES; j++)
-            assert_int_not_equal(await_status(&fleet, visits[j]), 200);
-        world_run_ms(fleet.world, 150);
-        replace_ended(&fleet);
-        await_all(&fleet);
+            assert_int_not_equal(await_status(&fleet, clients[j]), 200);
+        fixture_run_ms(fleet.fixture, 150);
+        replace_crashed(&fleet);
+        await_all_synced(&fleet);
     }
-    if (fleet.ended > first + 1)
-        print_error("%u ended under the first try, %u in all\n", first, fleet.ended);
-    assert_true(fleet.ended <= first + 1);
+    if (fleet.crashed > crashed_first + 1)
+        print_error("%u backends crashed on the first attempt, %u in total\n", crashed_first,
+                    fleet.crashed);
+    assert_true(fleet.crashed <= crashed_first + 1);
 }
 
-/* Back ends that reset connections and live: nobody is suspected, and tries go on as before. */
-static void test_resets_speak_against_nobody(void **state)
+/*
+ * Backends that reset connections but stay alive: the request is not quarantined, and it is served
+ * once they respond again.
+ */
+static void test_connection_resets_are_not_quarantined(void **state)
 {
     fleet_t fleet = open_fleet(ROUTES);
     for (unsigned i = 0; i < SHARDS; i++) {
@@ -265,44 +277,46 @@
             fleet.searchers[i][j]->behaviour = LAB_BREAKS_OFF;
     }
     for (unsigned i = 0; i < 6; i++)
-        assert_int_not_equal(status_of(&fleet, i % NODES, "/g/popular"), 200);
+        assert_int_not_equal(fetch_status(&fleet, i % NODES, "/g/popular"), 200);
     for (unsigned i = 0; i < SHARDS; i++) {
         for (unsigned j = 0; j < REPLICAS; j++)
             fleet.searchers[i][j]->behaviour = LAB_ANSWERS;
     }
-    world_run_ms(fleet.world, 2500); // they are avoided no longer
+    fixture_run_ms(fleet.fixture, 2500); // until the backends are not avoided any more
     for (unsigned i = 0; i < NODES; i++) {
-        assert_int_equal(status_of(&fleet, i, "/g/popular"), 200);
+        assert_int_equal(fetch_status(&fleet, i, "/g/popular"), 200);
         assert_true(ts_quarantine_is_empty(fleet.nodes[i]->quarantine));
     }
 }
 
-/* Until discovery tells of the next life of a back end. */
-#define TOLD_MS 200
+/* Delay until the store has the entry of a restarted searcher. */
+#define DISCOVERY_DELAY_MS 200
 #define STEP_MS 5
 
-/* The next life listens at its address before anybody can look whether the one before lives. */
-static void restart_at_once(void *ctx, lab_searcher_t *searcher, const char *request_id)
+/* The new incarnation listens before a node can check whether the old one is alive. */
+static void restart_immediately(void *ctx, lab_searcher_t *searcher, const char *request_id)
 {
     fleet_t *fleet = ctx;
     lab_searcher_restart(searcher);
-    fleet->ended++;
+    fleet->crashed++;
 }
 
-/* Each back end that has been back for a while is entered as its next life. */
-static void enter_next_lives(const fleet_t *fleet, unsigned since_ms[SHARDS][REPLICAS],
-                             uint64_t told_ms[SHARDS][REPLICAS])
+/* Registers the new incarnation of each searcher that restarted DISCOVERY_DELAY_MS ago. */
+static void register_restarted(const fleet_t *fleet, unsigned restarted_for_ms[SHARDS][REPLICAS],
+                               uint64_t registered_born_ms[SHARDS][REPLICAS])
 {
     for (unsigned i = 0; i < SHARDS; i++) {
         for (unsigned j = 0; j < REPLICAS; j++) {
             const lab_searcher_t *searcher = fleet->searchers[i][j];
-            since_ms[i][j] = searcher->born_ms == told_ms[i][j] ? 0 : since_ms[i][j] + STEP_MS;
-            if (since_ms[i][j] < TOLD_MS)
+            restarted_for_ms[i][j] = searcher->born_ms == registered_born_ms[i][j]
+                                         ? 0
+                                         : restarted_for_ms[i][j] + STEP_MS;
+            if (restarted_for_ms[i][j] < DISCOVERY_DELAY_MS)
                 continue;
             char *key = g_strdup_printf("servers/%s", searcher->id);
             char *entry = lab_searcher_entry(searcher, false);
-            lab_store_put(fleet->world->store, key, entry);
-            told_ms[i][j] = searcher->born_ms;
+            lab_store_put(fleet->fixture->store, key, entry);
+            registered_born_ms[i][j] = searcher->born_ms;
             g_free(entry);
             g_free(key);
         }
@@ -310,46 +324,46 @@
 }
 
 /*
- * Back ends that are back before anybody looks whether they live: what a check meets there is their
- * next life, and the request is contained all the same, once discovery has told of that.
+ * A backend that restarts before a node checks it: the check reaches the new incarnation and must
+ * not take it for the old one. The request is contained once discovery reports the restart.
  */
-static void test_next_life_is_not_taken_for_the_one_before(void **state)
+static void test_new_incarnation_is_not_taken_for_the_old_one(void **state)
 {
-    static const lab_searcher_ops_t ops = {.ended = restart_at_once};
+    static const lab_searcher_ops_t ops = {.ended = restart_immediately};
     fleet_t fleet = open_fleet(ROUTES);
-    unsigned since_ms[SHARDS][REPLICAS] = {0};
-    uint64_t told_ms[SHARDS][REPLICAS];
+    unsigned restarted_for_ms[SHARDS][REPLICAS] = {0};
+    uint64_t registered_born_ms[SHARDS][REPLICAS];
     for (unsigned i = 0; i < SHARDS; i++) {
         for (unsigned j = 0; j < REPLICAS; j++) {
             fleet.searchers[i][j]->ops = &ops;
             fleet.searchers[i][j]->ctx = &fleet;
-            told_ms[i][j] = fleet.searchers[i][j]->born_ms;
+            registered_born_ms[i][j] = fleet.searchers[i][j]->born_ms;
         }
     }
-    for (unsigned i = 0; i < 2 * TRIES; i++) {
-        visit_t *visit = ask(&fleet, i % NODES, FATAL);
-        for (unsigned waited = 0; waited < 600; waited += STEP_MS) { // while it runs and after it
-            world_run_ms(fleet.world, STEP_MS);
-            enter_next_lives(&fleet, since_ms, told_ms);
+    for (unsigned i = 0; i < 2 * ATTEMPTS; i++) {
+        client_t *client = send_request(&fleet, i % NODES, FATAL_TARGET);
+        for (unsigned waited = 0; waited < 600; waited += STEP_MS) {
+            fixture_run_ms(fleet.fixture, STEP_MS);
+            register_restarted(&fleet, restarted_for_ms, registered_born_ms);
         }
-        assert_int_not_equal(await_status(&fleet, visit), 200);
+        assert_int_not_equal(await_status(&fleet, client), 200);
     }
-    if (fleet.ended > SHARDS + ENDS_MORE)
-        print_error("%u ended\n", fleet.ended);
-    assert_true(fleet.ended <= SHARDS + ENDS_MORE);
+    if (fleet.crashed > SHARDS + EXTRA_CRASHES_MAX)
+        print_error("%u backends crashed\n", fleet.crashed);
+    assert_true(fleet.crashed <= SHARDS + EXTRA_CRASHES_MAX);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_gather_is_contained),
-        cmocka_unit_test(test_forwarded_request_is_contained),
-        cmocka_unit_test(test_refusal_comes_at_once),
-        cmocka_unit_test(test_passengers_are_served),
-        cmocka_unit_test(test_starting_node_knows),
-        cmocka_unit_test(test_tries_at_once),
-        cmocka_unit_test(test_next_life_is_not_taken_for_the_one_before),
-        cmocka_unit_test(test_resets_speak_against_nobody),
+        cmocka_unit_test(test_fatal_gather_request_is_contained),
+        cmocka_unit_test(test_fatal_forwarded_request_is_contained),
+        cmocka_unit_test(test_quarantined_request_is_refused_immediately),
+        cmocka_unit_test(test_requests_in_flight_at_crashes_are_served),
+        cmocka_unit_test(test_new_node_receives_quarantine),
+        cmocka_unit_test(test_concurrent_attempts_are_serialized),
+        cmocka_unit_test(test_new_incarnation_is_not_taken_for_the_old_one),
+        cmocka_unit_test(test_connection_resets_are_not_quarantined),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/gateway/test_forwarding.c
+++ b/tests/gateway/test_forwarding.c
@@ -1,41 +1,42 @@
-/** Forwarding of one request to one back end, over real sockets. */
+/** Forwarding of a request to one backend over real sockets. */
 #include "fixture.h"
 
 #include <string.h>
 
-static world_t *open_one(const char *kind, lab_searcher_t **first, lab_searcher_t **second)
+static fixture_t *open_single_route(const char *kind, lab_searcher_t **first,
+                                    lab_searcher_t **second)
 {
-    world_t *world = world_open(NULL);
-    *first = world_add_searcher(world, "i-1", "a", "z1");
+    fixture_t *fixture = fixture_open(NULL);
+    *first = fixture_add_searcher(fixture, "i-1", "a", "z1");
     if (second != NULL) {
-        *second = world_add_searcher(world, "i-2", "a", "z2");
+        *second = fixture_add_searcher(fixture, "i-2", "a", "z2");
     }
     char *route = g_strdup_printf("{\"name\":\"one\",\"host\":\"h.example\",\"pathPrefix\":\"/p/\","
                                   "\"routeType\":\"%s\",\"timeoutMs\":1500,"
                                   "\"targetLatencyMs\":200,\"priority\":1,\"service\":\"a\","
                                   "\"maxAttempts\":2}",
                                   kind);
-    world_configure(world, 1, route);
+    fixture_put_config(fixture, 1, route);
     g_free(route);
-    return world;
+    return fixture;
 }
 
-static void assert_body(const visit_t *visit, const char *expected)
+static void assert_body(const client_t *client, const char *expected)
 {
-    assert_string_equal(visit->answer.body->str, expected);
+    assert_string_equal(client->response.body->str, expected);
 }
 
-static void test_request_passes_unchanged(void **state)
+static void test_request_is_forwarded_unchanged(void **state)
 {
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_one("idempotent", &searcher, NULL);
-    visit_t *visit = visit_open(world, world->callers_port);
-    visit_send(visit, "POST /p/x%20y?q=1&r= HTTP/1.1\r\nHost: h.example:80\r\n"
-                      "X-Request-Id: Id-7\r\nX-Deadline-Ms: 900\r\nX-Own: a, b\r\n"
-                      "X-Expected-Instance: forged\r\nConnection: keep-alive, X-Hop\r\n"
-                      "X-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"
-                      "0\r\n\r\n");
-    assert_int_equal(visit_await(world, visit), 200);
+    fixture_t *fixture = open_single_route("idempotent", &searcher, NULL);
+    client_t *client = client_connect(fixture, fixture->callers_port);
+    client_send(client, "POST /p/x%20y?q=1&r= HTTP/1.1\r\nHost: h.example:80\r\n"
+                        "X-Request-Id: Id-7\r\nX-Deadline-Ms: 900\r\nX-Own: a, b\r\n"
+                        "X-Expected-Instance: forged\r\nConnection: keep-alive, X-Hop\r\n"
+                        "X-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"
+                        "0\r\n\r\n");
+    assert_int_equal(client_await_response(fixture, client), 200);
     const char *text = g_ptr_array_index(searcher->heads, 0);
     assert_true(g_str_has_prefix(text, "POST /p/x%20y?q=1&r=\r\n"));
     assert_true(g_str_has_suffix(text, "\r\n\r\nabcde"));
@@ -44,128 +45,133 @@
     assert_non_null(strstr(text, "\r\nX-Expected-Instance: i-1\r\n"));
     assert_null(strstr(text, "forged"));
     assert_null(strstr(text, "X-Hop"));
-    char *left = lab_searcher_last_field(searcher, "X-Deadline-Ms");
-    assert_true(atoi(left) > 500 && atoi(left) <= 900);
-    g_free(left);
-    assert_non_null(ts_http_message_find(&visit->answer, "X-Server-Stamp"));
-    assert_body(visit, "0123456789abcdef");
+    char *deadline_left = lab_searcher_last_field(searcher, "X-Deadline-Ms");
+    assert_true(atoi(deadline_left) > 500 && atoi(deadline_left) <= 900);
+    g_free(deadline_left);
+    assert_non_null(ts_http_message_find(&client->response, "X-Server-Stamp"));
+    assert_body(client, "0123456789abcdef");
 }
 
-static void test_deadline_is_the_shorter_of_two(void **state)
+static void test_deadline_is_capped_by_route_timeout(void **state)
 {
     lab_searcher_t *searcher = NULL;
     unsigned status = 0;
-    world_t *world = open_one("idempotent", &searcher, NULL);
-    visit_get(world, "/p/x", "r1", 60000, &status);
+    fixture_t *fixture = open_single_route("idempotent", &searcher, NULL);
+    client_get(fixture, "/p/x", "r1", 60000, &status);
     assert_int_equal(status, 200);
-    char *left = lab_searcher_last_field(searcher, "X-Deadline-Ms");
-    assert_true(atoi(left) <= 1500);
-    g_free(left);
+    char *deadline_left = lab_searcher_last_field(searcher, "X-Deadline-Ms");
+    assert_true(atoi(deadline_left) <= 1500);
+    g_free(deadline_left);
 }
 
 static void test_unknown_route_and_no_configuration(void **state)
 {
     unsigned status = 0;
-    world_t *world = world_open(NULL);
-    visit_t *early = visit_get(world, "/p/x", "r1", 1000, &status);
+    fixture_t *fixture = fixture_open(NULL);
+    client_t *early = client_get(fixture, "/p/x", "r1", 1000, &status);
     assert_int_equal(status, 503);
-    assert_non_null(ts_http_message_find(&early->answer, "Retry-After"));
-    world_configure(world, 1, ROUTE_ONE("one", "/p/", "idempotent", "a", 1500));
-    visit_get(world, "/q/x", "r2", 1000, &status);
+    assert_non_null(ts_http_message_find(&early->response, "Retry-After"));
+    fixture_put_config(fixture, 1, SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500));
+    client_get(fixture, "/q/x", "r2", 1000, &status);
     assert_int_equal(status, 404);
 }
 
-/* Each way of spoiling an answer leads to another instance, and never to a wrong body. */
+/*
+ * A request that fails in the given way is retried on another instance, and the client never gets a
+ * wrong body. `is_failure`: whether it raises the failure rate of the first instance.
+ */
 static void check_retried(lab_behaviour_t behaviour, bool is_failure)
 {
     lab_searcher_t *first = NULL;
     lab_searcher_t *second = NULL;
     unsigned status = 0;
-    world_t *world = open_one("idempotent", &first, &second);
+    fixture_t *fixture = open_single_route("idempotent", &first, &second);
     first->behaviour = behaviour;
-    visit_t *visit = visit_get(world, "/p/x", "r1", 1400, &status);
+    client_t *client = client_get(fixture, "/p/x", "r1", 1400, &status);
     assert_int_equal(status, 200);
-    assert_body(visit, "0123456789abcdef");
-    const char *signature = ts_http_message_find(&visit->answer, "X-Server-Stamp");
+    assert_body(client, "0123456789abcdef");
+    const char *signature = ts_http_message_find(&client->response, "X-Server-Stamp");
     assert_true(g_str_has_prefix(signature, "sig.i-2."));
     assert_true(second->runs == 1);
-    const ts_instance_t *failed = ts_registry_present(world->gateway.registry, "i-1");
+    const ts_instance_t *failed = ts_registry_present(fixture->gateway.registry, "i-1");
     assert_true((ts_instance_failing(failed, ts_clock_now_us()) > 0.2) == is_failure);
 }
 
-static void test_broken_off(void **state)
+static void test_truncated_response(void **state)
 {
     check_retried(LAB_BREAKS_OFF, true);
 }
-/* libuv reports a reset as an end of stream when it comes with a short read (found on the bench).
+/*
+ * libuv reports a reset as an end of stream if it arrives with a short read: the truncated body
+ * must not pass for a complete one.
  */
-static void test_unframed_answer_that_is_reset(void **state)
+static void test_reset_response_without_length(void **state)
 {
     check_retried(LAB_UNFRAMED_RESET, true);
 }
-static void test_foreign_id(void **state)
+static void test_response_with_wrong_request_id(void **state)
 {
     check_retried(LAB_FOREIGN_ID, true);
 }
-static void test_unsigned(void **state)
+static void test_unsigned_response(void **state)
 {
     check_retried(LAB_UNSIGNED, true);
 }
-static void test_encoded(void **state)
+static void test_encoded_response(void **state)
 {
     check_retried(LAB_ENCODED, true);
 }
-static void test_garbage(void **state)
+static void test_malformed_response(void **state)
 {
     check_retried(LAB_GARBAGE, true);
 }
-static void test_shedding(void **state)
+static void test_overloaded_backend(void **state)
 {
     check_retried(LAB_SHEDS, false);
 }
-static void test_failing(void **state)
+static void test_error_response(void **state)
 {
     check_retried(LAB_FAILS, true);
 }
-static void test_silent(void **state)
+static void test_hanging_backend(void **state)
 {
     check_retried(LAB_HANGS, false);
 }
 
-static void test_unframed_answer_is_whole(void **state)
+static void test_complete_response_without_length(void **state)
 {
     lab_searcher_t *searcher = NULL;
     unsigned status = 0;
-    world_t *world = open_one("idempotent", &searcher, NULL);
+    fixture_t *fixture = open_single_route("idempotent", &searcher, NULL);
     searcher->behaviour = LAB_UNFRAMED;
-    visit_t *visit = visit_get(world, "/p/x", "r1", 1400, &status);
+    client_t *client = client_get(fixture, "/p/x", "r1", 1400, &status);
     assert_int_equal(status, 200);
-    assert_body(visit, "0123456789abcdef");
+    assert_body(client, "0123456789abcdef");
 }
 
-static void test_surplus_answer_goes_to_nobody(void **state)
+static void test_surplus_response_is_discarded(void **state)
 {
     lab_searcher_t *searcher = NULL;
     unsigned status = 0;
-    world_t *world = open_one("idempotent", &searcher, NULL);
+    fixture_t *fixture = open_single_route("idempotent", &searcher, NULL);
     searcher->behaviour = LAB_ANSWERS_TWICE;
     for (int i = 0; i < 5; i++) {
         char id[16];
         g_snprintf(id, sizeof(id), "r%d", i);
-        visit_t *visit = visit_get(world, "/p/x", id, 1400, &status);
+        client_t *client = client_get(fixture, "/p/x", id, 1400, &status);
         assert_int_equal(status, 200);
-        assert_string_equal(ts_http_message_find(&visit->answer, "X-Request-Id"), id);
+        assert_string_equal(ts_http_message_find(&client->response, "X-Request-Id"), id);
     }
     assert_int_equal(searcher->connections, 5);
 }
 
-static void test_connection_is_used_again(void **state)
+static void test_connection_is_reused(void **state)
 {
     lab_searcher_t *searcher = NULL;
     unsigned status = 0;
-    world_t *world = open_one("idempotent", &searcher, NULL);
+    fixture_t *fixture = open_single_route("idempotent", &searcher, NULL);
     for (int i = 0; i < 5; i++) {
-        visit_get(world, "/p/x", "r", 1400, &status);
+        client_get(fixture, "/p/x", "r", 1400, &status);
         assert_int_equal(status, 200);
     }
     assert_int_equal(searcher->connections, 1);
@@ -175,102 +181,102 @@
 {
     lab_searcher_t *searcher = NULL;
     unsigned status = 0;
-    world_t *world = open_one("non_idempotent", &searcher, NULL);
+    fixture_t *fixture = open_single_route("non_idempotent", &searcher, NULL);
     searcher->behaviour = LAB_CLOSES_AFTER;
     for (int i = 0; i < 5; i++) {
-        visit_get(world, "/p/x", "r", 1400, &status);
+        client_get(fixture, "/p/x", "r", 1400, &status);
         assert_int_equal(status, 200);
-        world_run_ms(world, 5);
+        fixture_run_ms(fixture, 5);
     }
     assert_int_equal(searcher->runs, 5);
 }
 
-static void test_unrepeatable_runs_once(void **state)
+static void test_non_idempotent_request_runs_once(void **state)
 {
     lab_searcher_t *first = NULL;
     lab_searcher_t *second = NULL;
     unsigned status = 0;
-    world_t *world = open_one("non_idempotent", &first, &second);
+    fixture_t *fixture = open_single_route("non_idempotent", &first, &second);
     first->behaviour = LAB_BREAKS_OFF;
-    visit_get(world, "/p/x", "r1", 1400, &status);
+    client_get(fixture, "/p/x", "r1", 1400, &status);
     assert_int_equal(status, 502);
     assert_int_equal(first->runs + second->runs, 1);
 }
 
-static void test_unrepeatable_goes_on_after_a_refusal(void **state)
+static void test_non_idempotent_request_is_retried_after_refusal(void **state)
 {
     lab_searcher_t *first = NULL;
     lab_searcher_t *second = NULL;
     unsigned status = 0;
-    world_t *world = open_one("non_idempotent", &first, &second);
+    fixture_t *fixture = open_single_route("non_idempotent", &first, &second);
     first->behaviour = LAB_SHEDS;
-    visit_get(world, "/p/x", "r1", 1400, &status);
+    client_get(fixture, "/p/x", "r1", 1400, &status);
     assert_int_equal(status, 200);
     assert_int_equal(first->runs, 0);
     assert_int_equal(second->runs, 1);
 }
 
-static void test_unrepeatable_is_not_hedged(void **state)
+static void test_non_idempotent_request_is_not_hedged(void **state)
 {
     lab_searcher_t *first = NULL;
     lab_searcher_t *second = NULL;
     unsigned status = 0;
-    world_t *world = open_one("non_idempotent", &first, &second);
+    fixture_t *fixture = open_single_route("non_idempotent", &first, &second);
     first->delay_ms = 600;
-    visit_get(world, "/p/x", "r1", 1400, &status);
+    client_get(fixture, "/p/x", "r1", 1400, &status);
     assert_int_equal(status, 200);
     assert_int_equal(second->runs, 0);
 }
 
-static void test_refused_everywhere_says_when_to_come_back(void **state)
+static void test_refused_everywhere_returns_retry_after(void **state)
 {
     lab_searcher_t *first = NULL;
     unsigned status = 0;
-    world_t *world = open_one("idempotent", &first, NULL);
+    fixture_t *fixture = open_single_route("idempotent", &first, NULL);
     first->behaviour = LAB_SHEDS;
-    visit_t *visit = visit_get(world, "/p/x", "r1", 1400, &status);
+    client_t *client = client_get(fixture, "/p/x", "r1", 1400, &status);
     assert_int_equal(status, 503);
-    assert_non_null(ts_http_message_find(&visit->answer, "Retry-After"));
-    assert_null(ts_http_message_find(&visit->answer, "X-Server-Stamp"));
+    assert_non_null(ts_http_message_find(&client->response, "Retry-After"));
+    assert_null(ts_http_message_find(&client->response, "X-Server-Stamp"));
 }
 
-static void test_final_answer_at_the_routes_timeout(void **state)
+static void test_gateway_timeout_at_route_timeout(void **state)
 {
     lab_searcher_t *first = NULL;
     unsigned status = 0;
-    world_t *world = open_one("idempotent", &first, NULL);
+    fixture_t *fixture = open_single_route("idempotent", &first, NULL);
     first->behaviour = LAB_HANGS;
-    ts_time_us_t begun_us = ts_clock_now_us();
-    visit_get(world, "/p/x", "r1", 60000, &status);
-    ts_time_us_t span_ms = (ts_clock_now_us() - begun_us) / TS_US_PER_MS;
+    ts_time_us_t start_us = ts_clock_now_us();
+    client_get(fixture, "/p/x", "r1", 60000, &status);
+    ts_time_us_t duration_ms = (ts_clock_now_us() - start_us) / TS_US_PER_MS;
     assert_int_equal(status, 504);
-    assert_true(span_ms >= 1400 && span_ms < 2000);
+    assert_true(duration_ms >= 1400 && duration_ms < 2000);
 }
 
-static void test_caller_that_leaves_is_cancelled(void **state)
+static void test_client_disconnect_cancels_request(void **state)
 {
     lab_searcher_t *first = NULL;
-    world_t *world = open_one("idempotent", &first, NULL);
+    fixture_t *fixture = open_single_route("idempotent", &first, NULL);
     first->delay_ms = 1200;
-    visit_t *visit = visit_open(world, world->callers_port);
-    visit_send(visit, "GET /p/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r\r\n"
-                      "X-Deadline-Ms: 1400\r\n\r\n");
-    assert_true(world_run_until(world, &first->runs, 1));
-    visit_close(visit);
-    world_run_ms(world, 480);
+    client_t *client = client_connect(fixture, fixture->callers_port);
+    client_send(client, "GET /p/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r\r\n"
+                        "X-Deadline-Ms: 1400\r\n\r\n");
+    assert_true(fixture_run_until(fixture, &first->runs, 1));
+    client_close(client);
+    fixture_run_ms(fixture, 480);
     assert_int_equal(first->closed_early, 1);
-    assert_int_equal(world->gateway.requests, 0);
+    assert_int_equal(fixture->gateway.requests, 0);
 }
 
-static void test_address_used_by_another_instance(void **state)
+static void test_address_reused_by_another_instance(void **state)
 {
     lab_searcher_t *first = NULL;
     lab_searcher_t *second = NULL;
     unsigned status = 0;
-    world_t *world = open_one("idempotent", &first, &second);
+    fixture_t *fixture = open_single_route("idempotent", &first, &second);
     g_free(first->id);
-    first->id = g_strdup("i-9"); /* the same address, a new incarnation */
-    visit_get(world, "/p/x", "r1", 1400, &status);
+    first->id = g_strdup("i-9"); /* same address, different instance */
+    client_get(fixture, "/p/x", "r1", 1400, &status);
     assert_int_equal(status, 200);
     assert_int_equal(first->runs, 0);
     assert_int_equal(first->misdirected, 1);
@@ -278,27 +284,27 @@
 }
 
 /*
- * The connections that this node may have to an instance are never passed. What cannot be begun
- * within a fifth of the aim is refused, early and with the time to come back, and does not run.
+ * The node never exceeds the number of connections it may open to an instance. Requests that cannot
+ * be sent within a fifth of the target latency are refused early, with Retry-After, and do not run.
  */
-static void test_full_instance_is_not_overrun(void **state)
+static void test_connection_limit_is_not_exceeded(void **state)
 {
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_one("idempotent", &searcher, NULL);
+    fixture_t *fixture = open_single_route("idempotent", &searcher, NULL);
     searcher->delay_ms = 60;
-    visit_t *visits[12];
+    client_t *clients[12];
     for (int i = 0; i < 12; i++) {
-        visits[i] = visit_open(world, world->callers_port);
-        visit_send(visits[i], "GET /p/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r\r\n"
-                              "X-Deadline-Ms: 1400\r\n\r\n");
+        clients[i] = client_connect(fixture, fixture->callers_port);
+        client_send(clients[i], "GET /p/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r\r\n"
+                                "X-Deadline-Ms: 1400\r\n\r\n");
     }
     unsigned answered = 0;
     for (int i = 0; i < 12; i++) {
-        unsigned status = visit_await(world, visits[i]);
+        unsigned status = client_await_response(fixture, clients[i]);
         answered += status == 200;
         if (status != 200) {
             assert_int_equal(status, 503);
-            assert_non_null(ts_http_message_find(&visits[i]->answer, "Retry-After"));
+            assert_non_null(ts_http_message_find(&clients[i]->response, "Retry-After"));
         }
     }
     assert_true(searcher->connections <= 4);
@@ -306,66 +312,67 @@
     assert_int_equal(searcher->runs, answered);
 }
 
-static void test_draining_gets_no_new_work(void **state)
+static void test_draining_instance_gets_no_new_requests(void **state)
 {
     lab_searcher_t *first = NULL;
     lab_searcher_t *second = NULL;
     unsigned status = 0;
-    world_t *world = open_one("idempotent", &first, &second);
-    world_set_draining(world, first);
-    world_run_ms(world, 1000);
+    fixture_t *fixture = open_single_route("idempotent", &first, &second);
+    fixture_set_draining(fixture, first);
+    fixture_run_ms(fixture, 1000);
     for (int i = 0; i < 4; i++) {
-        visit_get(world, "/p/x", "r", 1400, &status);
+        client_get(fixture, "/p/x", "r", 1400, &status);
         assert_int_equal(status, 200);
     }
     assert_int_equal(first->runs, 0);
     assert_int_equal(second->runs, 4);
 }
 
-/* A zone without searchers of its own learns from those of its region (it kept its first guess). */
-static void test_typical_time_is_learned_in_the_region(void **state)
+/* A zone without searchers must learn from those of its region, not keep the initial estimate. */
+static void test_typical_latency_is_learned_in_the_region(void **state)
 {
-    world_t *world = world_open(NULL);
-    world_add_searcher(world, "i-1", "a", "z1b");
-    world_configure(world, 1, ROUTE_ONE("one", "/p/", "idempotent", "a", 1500));
+    fixture_t *fixture = fixture_open(NULL);
+    fixture_add_searcher(fixture, "i-1", "a", "z1b");
+    fixture_put_config(fixture, 1, SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500));
     for (int i = 0; i < 5; i++) {
         unsigned status = 0;
-        visit_close(visit_get(world, "/p/x", "r1", 1000, &status));
+        client_close(client_get(fixture, "/p/x", "r1", 1000, &status));
         assert_int_equal(status, 200);
     }
-    const ts_traffic_route_t *route = ts_traffic_match(world->gateway.traffic, "h.example", "/p/x");
-    assert_int_equal(ts_gateway_route_state(&world->gateway, route)->typical.count, 5);
+    const ts_traffic_route_t *route =
+        ts_traffic_match(fixture->gateway.traffic, "h.example", "/p/x");
+    assert_int_equal(ts_gateway_route_state(&fixture->gateway, route)->typical.count, 5);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_request_passes_unchanged),
-        cmocka_unit_test(test_deadline_is_the_shorter_of_two),
+        cmocka_unit_test(test_request_is_forwarded_unchanged),
+        cmocka_unit_test(test_deadline_is_capped_by_route_timeout),
         cmocka_unit_test(test_unknown_route_and_no_configuration),
-        cmocka_unit_test(test_broken_off),
-        cmocka_unit_test(test_unframed_answer_that_is_reset),
-        cmocka_unit_test(test_foreign_id),
-        cmocka_unit_test(test_unsigned),
-        cmocka_unit_test(test_encoded),
-        cmocka_unit_test(test_garbage),
-        cmocka_unit_test(test_shedding),
-        cmocka_unit_test(test_failing),
-        cmocka_unit_test(test_silent),
-        cmocka_unit_test(test_unframed_answer_is_whole),
-        cmocka_unit_test(test_surplus_answer_goes_to_nobody),
-        cmocka_unit_test(test_connection_is_used_again),
+        cmocka_unit_test(test_truncated_response),
+        cmocka_unit_test(test_reset_response_without_length),
+        cmocka_unit_test(test_response_with_wrong_request_id),
+        cmocka_unit_test(test_unsigned_response),
+        cmocka_unit_test(test_encoded_response),
+        cmocka_unit_test(test_malformed_response),
+        cmocka_unit_test(test_overloaded_backend),
+        cmocka_unit_test(test_error_response),
+        cmocka_unit_test(test_hanging_backend),
+        cmocka_unit_test(test_complete_response_without_length),
+        cmocka_unit_test(test_surplus_response_is_discarded),
+        cmocka_unit_test(test_connection_is_reused),
         cmocka_unit_test(test_connection_closed_while_idle),
-        cmocka_unit_test(test_unrepeatable_runs_once),
-        cmocka_unit_test(test_unrepeatable_goes_on_after_a_refusal),
-        cmocka_unit_test(test_unrepeatable_is_not_hedged),
-        cmocka_unit_test(test_refused_everywhere_says_when_to_come_back),
-        cmocka_unit_test(test_final_answer_at_the_routes_timeout),
-        cmocka_unit_test(test_caller_that_leaves_is_cancelled),
-        cmocka_unit_test(test_address_used_by_another_instance),
-        cmocka_unit_test(test_full_instance_is_not_overrun),
-        cmocka_unit_test(test_typical_time_is_learned_in_the_region),
-        cmocka_unit_test(test_draining_gets_no_new_work),
+        cmocka_unit_test(test_non_idempotent_request_runs_once),
+        cmocka_unit_test(test_non_idempotent_request_is_retried_after_refusal),
+        cmocka_unit_test(test_non_idempotent_request_is_not_hedged),
+        cmocka_unit_test(test_refused_everywhere_returns_retry_after),
+        cmocka_unit_test(test_gateway_timeout_at_route_timeout),
+        cmocka_unit_test(test_client_disconnect_cancels_request),
+        cmocka_unit_test(test_address_reused_by_another_instance),
+        cmocka_unit_test(test_connection_limit_is_not_exceeded),
+        cmocka_unit_test(test_typical_latency_is_learned_in_the_region),
+        cmocka_unit_test(test_draining_instance_gets_no_new_requests),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/gateway/test_peers.c
+++ b/tests/gateway/test_peers.c
@@ -1,42 +1,43 @@
-/** Several gateways: who follows the store, and what they tell each other. */
+/** Several gateways: which of them watch the store, and what they exchange as peers. */
 #include "fixture.h"
 
 #include "../../src/peers/peers_internal.h"
 #include "tealspar/peers.h"
 
 #define NODES 4
-#define ROUTE_A ROUTE_ONE("one", "/p/", "idempotent", "a", 1500)
+#define ROUTE_A SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500)
 
 typedef struct fleet {
-    world_t *world;
+    fixture_t *fixture;
     ts_gateway_t *nodes[NODES];
     unsigned ports[NODES];
 } fleet_t;
 
-/* Three nodes in z1 and one in z2, all with the store, which has version 1 and one back end. */
+/* Three nodes in z1 and one in z2; the store has configuration version 1 and one backend. */
 static fleet_t open_fleet(void)
 {
-    fleet_t fleet = {.world = world_open(NULL)};
-    world_add_searcher(fleet.world, "i-1", "a", "z1");
-    world_configure(fleet.world, 1, ROUTE_A);
+    fleet_t fleet = {.fixture = fixture_open(NULL)};
+    fixture_add_searcher(fleet.fixture, "i-1", "a", "z1");
+    fixture_put_config(fleet.fixture, 1, ROUTE_A);
     for (int i = 0; i < NODES; i++) {
         char name[8];
         g_snprintf(name, sizeof(name), "n%d", i);
-        fleet.ports[i] = world_next_port();
-        fleet.nodes[i] = world_add_gateway(fleet.world, name, i < 3 ? "z1" : "z2", fleet.ports[i],
-                                           fleet.ports[0], fleet.world->store_port);
+        fleet.ports[i] = fixture_next_port();
+        fleet.nodes[i] =
+            fixture_add_gateway(fleet.fixture, name, i < 3 ? "z1" : "z2", fleet.ports[i],
+                                fleet.ports[0], fleet.fixture->store_port);
     }
     for (int i = 0; i < NODES; i++) {
-        assert_true(world_await_knowledge(fleet.world, fleet.nodes[i], 1, 1));
+        assert_true(fixture_await_synced(fleet.fixture, fleet.nodes[i], 1, 1));
     }
     for (int i = 0; i < 300 && ts_peers_count(fleet.nodes[NODES - 1]->peers) < NODES; i++) {
-        world_run_ms(fleet.world, 10);
+        fixture_run_ms(fleet.fixture, 10);
     }
-    world_run_ms(fleet.world, 1000);
+    fixture_run_ms(fleet.fixture, 1000);
     return fleet;
 }
 
-static ts_gateway_t *watcher_of(const fleet_t *fleet)
+static ts_gateway_t *find_watcher(const fleet_t *fleet)
 {
     for (int i = 0; i < 3; i++) {
         if (ts_peers_is_relied_on(fleet->nodes[i]->peers)) {
@@ -46,7 +47,7 @@
     return NULL;
 }
 
-static void test_one_watcher_a_zone(void **state)
+static void test_one_watcher_per_zone(void **state)
 {
     fleet_t fleet = open_fleet();
     unsigned watchers = 0;
@@ -57,40 +58,43 @@
     assert_int_equal(watchers, 2);
 }
 
-static void test_change_reaches_all_within_the_bound(void **state)
+static void test_change_reaches_all_nodes_in_time(void **state)
 {
     fleet_t fleet = open_fleet();
-    ts_time_us_t begun_us = ts_clock_now_us();
-    world_configure(fleet.world, 2, ROUTE_A);
+    ts_time_us_t start_us = ts_clock_now_us();
+    fixture_put_config(fleet.fixture, 2, ROUTE_A);
     for (int i = 0; i < NODES; i++) {
-        assert_true(world_await_knowledge(fleet.world, fleet.nodes[i], 2, 1));
+        assert_true(fixture_await_synced(fleet.fixture, fleet.nodes[i], 2, 1));
     }
-    assert_true(ts_clock_now_us() - begun_us < 1500 * TS_US_PER_MS);
-    lab_store_delete(fleet.world->store, "servers/i-1");
+    assert_true(ts_clock_now_us() - start_us < 1500 * TS_US_PER_MS);
+    lab_store_delete(fleet.fixture->store, "servers/i-1");
     for (int i = 0; i < NODES; i++) {
-        assert_true(world_await_knowledge(fleet.world, fleet.nodes[i], 2, 0));
+        assert_true(fixture_await_synced(fleet.fixture, fleet.nodes[i], 2, 0));
     }
 }
 
-// A watcher's wait is long; its probes notice that a silent service has swallowed it.
-static void test_swallowed_wait_of_a_watcher(void **state)
+/*
+ * The long poll of a watcher is lost in a store that was silent for a while. Its probes must detect
+ * that, as the poll itself would time out much later.
+ */
+static void test_lost_poll_of_a_watcher(void **state)
 {
     fleet_t fleet = open_fleet();
-    unsigned calls = lab_store_calls(fleet.world->store);
-    world_run_ms(fleet.world, 5000);
-    assert_true(lab_store_calls(fleet.world->store) - calls <=
-                2 * 6); // two watchers: probes, and a wait at most
-    lab_store_set_mode(fleet.world->store, LAB_STORE_SILENT);
-    lab_store_put(fleet.world->store, "op/config",
+    unsigned calls_before = lab_store_calls(fleet.fixture->store);
+    fixture_run_ms(fleet.fixture, 5000);
+    // each of the two watchers: five probes and at most one poll
+    assert_true(lab_store_calls(fleet.fixture->store) - calls_before <= 2 * 6);
+    lab_store_set_mode(fleet.fixture->store, LAB_STORE_SILENT);
+    lab_store_put(fleet.fixture->store, "op/config",
                   "{\"version\":2,\"routes\":[" ROUTE_A "],\"services\":[]}");
-    world_run_ms(fleet.world, 300);
-    lab_store_set_mode(fleet.world->store, LAB_STORE_NORMAL);
-    world_run_ms(fleet.world, 4000);
+    fixture_run_ms(fleet.fixture, 300);
+    lab_store_set_mode(fleet.fixture->store, LAB_STORE_NORMAL);
+    fixture_run_ms(fleet.fixture, 4000);
     for (int i = 0; i < NODES; i++)
         assert_int_equal(fleet.nodes[i]->traffic->version, 2);
 }
 
-static void announce(ts_peers_t *peers, char *address, uint64_t epoch, uint64_t revision)
+static void deliver_beacon(ts_peers_t *peers, char *address, uint64_t epoch, uint64_t revision)
 {
     TsPeer__Beacon beacon = TS_PEER__BEACON__INIT;
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
@@ -101,7 +105,7 @@
     ts_peers_take_beacon(peers, &frame);
 }
 
-static void give_changes(ts_peers_t *peers, uint64_t epoch, uint64_t revision)
+static void deliver_changes(ts_peers_t *peers, uint64_t epoch, uint64_t revision)
 {
     TsPeer__Changes changes = TS_PEER__CHANGES__INIT;
     changes.epoch = epoch;
@@ -109,30 +113,32 @@
     ts_peers_take_changes(peers, &changes);
 }
 
-/* What is announced while changes are on their way is asked for as soon as they are in. */
+/* A revision announced while a pull is in progress is pulled as soon as that one is answered. */
 static void test_changes_in_quick_succession(void **state)
 {
     fleet_t fleet = open_fleet();
-    ts_gateway_t *watcher = watcher_of(&fleet);
+    ts_gateway_t *watcher = find_watcher(&fleet);
     ts_peers_t *peers = fleet.nodes[fleet.nodes[0] == watcher ? 1 : 0]->peers;
     char address[32];
-    g_snprintf(address, sizeof(address), "127.0.0.1:%u", world_next_port()); /* nobody answers */
+    g_snprintf(address, sizeof(address), "127.0.0.1:%u", fixture_next_port()); /* nobody listens */
     ts_store_position_t position = ts_store_mirror_position(peers->mirror);
     uint64_t own = position.revision;
     uint64_t epoch = position.epoch;
-    announce(peers, address, epoch, own + 1);
-    announce(peers, address, epoch, own + 2);
-    give_changes(peers, epoch, own + 1);
-    assert_true(peers->pulled_us != 0); /* the second is on its way */
-    give_changes(peers, epoch, own + 1);
-    assert_true(peers->pulled_us == 0); /* a peer that has not got it is not asked over and over */
-    give_changes(peers, epoch, own + 2);
+    deliver_beacon(peers, address, epoch, own + 1);
+    deliver_beacon(peers, address, epoch, own + 2);
+    deliver_changes(peers, epoch, own + 1);
+    assert_true(peers->pulled_us != 0); /* own + 2 is being pulled */
+    deliver_changes(peers, epoch, own + 1);
+    assert_true(peers->pulled_us == 0); /* the peer does not have it: no repeated pull */
+    deliver_changes(peers, epoch, own + 2);
     assert_true(peers->pulled_us == 0);
 }
 
-/* A node of another zone that speaks of a newer version is asked only if it does not come by
- * itself. */
-static void test_newer_version_is_not_fetched_from_afar_at_once(void **state)
+/*
+ * A newer version reported by a node of another zone is pulled from there only if it has not
+ * arrived through the own zone within half a second.
+ */
+static void test_newer_version_is_not_pulled_from_other_zone_at_once(void **state)
 {
     fleet_t fleet = open_fleet();
     ts_peers_t *peers = fleet.nodes[NODES - 1]->peers; /* of z2 */
@@ -150,84 +156,85 @@
     assert_true(peers->pulled_us != 0);
 }
 
-static void test_start_while_the_store_is_silent(void **state)
+static void test_start_while_store_is_silent(void **state)
 {
     fleet_t fleet = open_fleet();
-    lab_store_set_mode(fleet.world->store, LAB_STORE_SILENT);
-    ts_gateway_t *late = world_add_gateway(fleet.world, "late", "z2", world_next_port(),
-                                           fleet.ports[0], fleet.world->store_port);
-    ts_time_us_t begun_us = ts_clock_now_us();
-    assert_true(world_await_knowledge(fleet.world, late, 1, 1));
-    assert_true(ts_clock_now_us() - begun_us < 2000 * TS_US_PER_MS);
+    lab_store_set_mode(fleet.fixture->store, LAB_STORE_SILENT);
+    ts_gateway_t *late_node = fixture_add_gateway(fleet.fixture, "late", "z2", fixture_next_port(),
+                                                  fleet.ports[0], fleet.fixture->store_port);
+    ts_time_us_t start_us = ts_clock_now_us();
+    assert_true(fixture_await_synced(fleet.fixture, late_node, 1, 1));
+    assert_true(ts_clock_now_us() - start_us < 2000 * TS_US_PER_MS);
 }
 
-/* The service refuses one node while it serves the others. */
-static void test_refused_node_follows_its_peers(void **state)
+/* A node that cannot reach the store while the others can. */
+static void test_node_without_store_follows_peers(void **state)
 {
     fleet_t fleet = open_fleet();
-    ts_gateway_t *refused =
-        world_add_gateway(fleet.world, "m", "z2", world_next_port(), fleet.ports[0], 0);
-    assert_true(world_await_knowledge(fleet.world, refused, 1, 1));
+    ts_gateway_t *cut_off =
+        fixture_add_gateway(fleet.fixture, "m", "z2", fixture_next_port(), fleet.ports[0], 0);
+    assert_true(fixture_await_synced(fleet.fixture, cut_off, 1, 1));
     for (unsigned version = 2; version < 5; version++) {
-        ts_time_us_t begun_us = ts_clock_now_us();
-        world_configure(fleet.world, version, ROUTE_A);
-        assert_true(world_await_knowledge(fleet.world, refused, version, 1));
-        assert_true(ts_clock_now_us() - begun_us < 3000 * TS_US_PER_MS);
-        world_run_ms(fleet.world, 700);
+        ts_time_us_t start_us = ts_clock_now_us();
+        fixture_put_config(fleet.fixture, version, ROUTE_A);
+        assert_true(fixture_await_synced(fleet.fixture, cut_off, version, 1));
+        assert_true(ts_clock_now_us() - start_us < 3000 * TS_US_PER_MS);
+        fixture_run_ms(fleet.fixture, 700);
     }
 }
 
-static void test_watcher_that_leaves_is_replaced(void **state)
+static void test_watcher_is_replaced_after_shutdown(void **state)
 {
     fleet_t fleet = open_fleet();
-    ts_gateway_t *watcher = watcher_of(&fleet);
+    ts_gateway_t *watcher = find_watcher(&fleet);
     assert_non_null(watcher);
     ts_gateway_leave(watcher);
-    world_run_ms(fleet.world, 500);
-    assert_ptr_not_equal(watcher_of(&fleet), watcher);
-    assert_non_null(watcher_of(&fleet));
+    fixture_run_ms(fleet.fixture, 500);
+    assert_ptr_not_equal(find_watcher(&fleet), watcher);
+    assert_non_null(find_watcher(&fleet));
 }
 
-/* A watcher that says nothing more: the others ask the service themselves, within the bound. */
-static void test_silent_watcher_is_not_waited_for(void **state)
+/* If the watcher falls silent the other nodes read the store themselves within 3 s. */
+static void test_silent_watcher_is_bypassed(void **state)
 {
     fleet_t fleet = open_fleet();
-    ts_gateway_t *watcher = watcher_of(&fleet);
+    ts_gateway_t *watcher = find_watcher(&fleet);
     assert_non_null(watcher);
     ts_peers_set_mute(watcher->peers, true);
-    world_run_ms(fleet.world, 100);
-    ts_time_us_t begun_us = ts_clock_now_us();
-    world_configure(fleet.world, 2, ROUTE_A);
+    fixture_run_ms(fleet.fixture, 100);
+    ts_time_us_t start_us = ts_clock_now_us();
+    fixture_put_config(fleet.fixture, 2, ROUTE_A);
     for (int i = 0; i < 3; i++) {
-        assert_true(world_await_knowledge(fleet.world, fleet.nodes[i], 2, 1));
+        assert_true(fixture_await_synced(fleet.fixture, fleet.nodes[i], 2, 1));
     }
-    assert_true(ts_clock_now_us() - begun_us < 3000 * TS_US_PER_MS);
+    assert_true(ts_clock_now_us() - start_us < 3000 * TS_US_PER_MS);
 }
 
-static void test_suspicion_is_shared_in_the_zone(void **state)
+static void test_suspicion_is_shared_within_zone(void **state)
 {
     fleet_t fleet = open_fleet();
     ts_instance_t *own = ts_registry_present(fleet.nodes[0]->registry, "i-1");
-    ts_instance_t *theirs = ts_registry_present(fleet.nodes[1]->registry, "i-1");
+    ts_instance_t *remote = ts_registry_present(fleet.nodes[1]->registry, "i-1");
     ts_instance_t *far = ts_registry_present(fleet.nodes[3]->registry, "i-1");
     ts_time_us_t now_us = ts_clock_now_us();
     ts_instance_note_overdue(own, now_us - 50 * TS_US_PER_MS, now_us);
-    world_run_ms(fleet.world, 100);
-    assert_true(theirs->suspected_us == 0); /* most late answers come soon: not told yet */
+    fixture_run_ms(fleet.fixture, 100);
+    /* most late responses arrive soon after, so the suspicion is not reported yet */
+    assert_true(remote->suspected_us == 0);
     ts_instance_tell_overdue(own);
-    for (int i = 0; i < 100 && theirs->suspected_us == 0; i++) {
-        world_run_ms(fleet.world, 5);
+    for (int i = 0; i < 100 && remote->suspected_us == 0; i++) {
+        fixture_run_ms(fleet.fixture, 5);
     }
-    assert_true(theirs->suspected_us != 0);
+    assert_true(remote->suspected_us != 0);
     assert_true(far->suspected_us == 0);
     ts_instance_note_answer(own, ts_clock_now_us(), 1000, 1000);
-    for (int i = 0; i < 100 && theirs->suspected_us != 0; i++) {
-        world_run_ms(fleet.world, 5);
+    for (int i = 0; i < 100 && remote->suspected_us != 0; i++) {
+        fixture_run_ms(fleet.fixture, 5);
     }
-    assert_true(theirs->suspected_us == 0);
+    assert_true(remote->suspected_us == 0);
 }
 
-/* -- Evidence about back ends ------------------------------------------------------------------ */
+/* -- Evidence about backends ------------------------------------------------------------------- */
 
 static ts_instance_t *instance_at(const fleet_t *fleet, int node)
 {
@@ -246,65 +253,65 @@
     return collector;
 }
 
-/* Whether a node comes to believe that a share of the back end's answers fail. */
-static bool await_failing(const fleet_t *fleet, int node, double least)
+/* Waits until the failure rate that a node assumes for the backend exceeds `threshold`. */
+static bool await_failing(const fleet_t *fleet, int node, double threshold)
 {
     const ts_instance_t *instance = instance_at(fleet, node);
     for (int i = 0; i < 200; i++) {
-        if (ts_instance_failing(instance, ts_clock_now_us()) > least)
+        if (ts_instance_failing(instance, ts_clock_now_us()) > threshold)
             return true;
-        world_run_ms(fleet->world, 10);
+        fixture_run_ms(fleet->fixture, 10);
     }
     return false;
 }
 
-static void note_failures(const fleet_t *fleet, int node, int count)
+static void add_failures(const fleet_t *fleet, int node, int count)
 {
     for (int i = 0; i < count; i++)
         ts_instance_note_verdict(instance_at(fleet, node), true, ts_clock_now_us());
 }
 
-/* What one node meets is known in all zones; none of the others has sent anything yet. */
+/* Failures seen by one node reach the nodes of all zones, which have sent no requests. */
 static void test_evidence_reaches_every_zone(void **state)
 {
     fleet_t fleet = open_fleet();
     int sender = find_collector(&fleet) == 1 ? 2 : 1;
-    note_failures(&fleet, sender, 6);
+    add_failures(&fleet, sender, 6);
     for (int i = 0; i < NODES; i++)
         assert_true(await_failing(&fleet, i, 0.4));
 }
 
-/* Failures that three nodes met weigh more than those of one, and good answers of others less. */
+/* Outcomes seen by all nodes are added up: failures raise the rate, successes lower it. */
 static void test_evidence_adds_up(void **state)
 {
     fleet_t fleet = open_fleet();
     for (int i = 0; i < NODES; i++)
-        note_failures(&fleet, i, 2);
-    assert_true(await_failing(&fleet, 0, 0.65)); // 2 of its own alone: 0.4
+        add_failures(&fleet, i, 2);
+    assert_true(await_failing(&fleet, 0, 0.65)); // its own 2 failures alone give 0.4
     for (int i = 0; i < 30; i++) {
         for (int node = 0; node < NODES; node++)
             ts_instance_note_verdict(instance_at(&fleet, node), false, ts_clock_now_us());
-        world_run_ms(fleet.world, 20);
+        fixture_run_ms(fleet.fixture, 20);
     }
     assert_false(ts_instance_failing(instance_at(&fleet, 0), ts_clock_now_us()) > 0.25);
 }
 
-/* When the node that collects leaves, another does. */
-static void test_collector_that_leaves_is_replaced(void **state)
+/* When the collector shuts down, another node takes over. */
+static void test_collector_is_replaced_after_shutdown(void **state)
 {
     fleet_t fleet = open_fleet();
     int collector = find_collector(&fleet);
     assert_true(collector >= 0);
     ts_gateway_leave(fleet.nodes[collector]);
-    world_run_ms(fleet.world, 500);
+    fixture_run_ms(fleet.fixture, 500);
     int next = find_collector(&fleet);
     assert_true(next >= 0 && next != collector);
-    note_failures(&fleet, collector == 0 ? 1 : 0, 6);
+    add_failures(&fleet, collector == 0 ? 1 : 0, 6);
     assert_true(await_failing(&fleet, collector == 3 ? 2 : 3, 0.4));
 }
 
-/* Sums of the life that was born at a moment. */
-static void give_sums_of(ts_peers_t *peers, uint64_t born_ms, uint32_t sequence, float failures)
+/* Delivers evidence sums of the incarnation with this birth time. */
+static void deliver_sums_of(ts_peers_t *peers, uint64_t born_ms, uint32_t sequence, float failures)
 {
     TsPeer__EvidenceRow row = TS_PEER__EVIDENCE_ROW__INIT;
     TsPeer__EvidenceRow *rows[] = {&row};
@@ -323,90 +330,91 @@
     ts_peers_take_evidence(peers, &frame);
 }
 
-static void give_sums(ts_peers_t *peers, uint32_t sequence, float failures)
+static void deliver_sums(ts_peers_t *peers, uint32_t sequence, float failures)
 {
     ts_instance_t *instance = ts_registry_present(peers->gateway->registry, "i-1");
-    give_sums_of(peers, instance->born_ms, sequence, failures);
+    deliver_sums_of(peers, instance->born_ms, sequence, failures);
 }
 
-/* What is told of a life that a back end has left behind, or that is not known yet, changes
- * nothing. */
-static void test_evidence_of_another_life_is_ignored(void **state)
+/* Evidence about a previous incarnation, or about one that is not known yet, is ignored. */
+static void test_evidence_about_other_incarnation_is_ignored(void **state)
 {
     fleet_t fleet = open_fleet();
     ts_peers_t *peers = fleet.nodes[0]->peers;
     uint64_t born_ms = instance_at(&fleet, 0)->born_ms;
-    give_sums_of(peers, born_ms - 1000, 7, 16);
-    give_sums_of(peers, born_ms + 1000, 8, 16);
+    deliver_sums_of(peers, born_ms - 1000, 7, 16);
+    deliver_sums_of(peers, born_ms + 1000, 8, 16);
     assert_true(ts_instance_failing(instance_at(&fleet, 0), ts_clock_now_us()) < 0.1);
-    give_sums_of(peers, born_ms, 9, 16);
+    deliver_sums_of(peers, born_ms, 9, 16);
     assert_true(ts_instance_failing(instance_at(&fleet, 0), ts_clock_now_us()) > 0.6);
 }
 
-/* A message that comes once more, or after a newer one, changes nothing. */
-static void test_replayed_evidence_is_ignored(void **state)
+/* Duplicated and reordered evidence messages are ignored. */
+static void test_duplicate_evidence_is_ignored(void **state)
 {
     fleet_t fleet = open_fleet();
     ts_peers_t *peers = fleet.nodes[0]->peers;
-    give_sums(peers, 7, 16);
-    double failing = ts_instance_failing(instance_at(&fleet, 0), ts_clock_now_us());
-    assert_true(failing > 0.6);
-    give_sums(peers, 8, 0); // it is well again
+    deliver_sums(peers, 7, 16);
+    double failure_rate = ts_instance_failing(instance_at(&fleet, 0), ts_clock_now_us());
+    assert_true(failure_rate > 0.6);
+    deliver_sums(peers, 8, 0); // recovered
     for (int i = 0; i < 5; i++)
-        give_sums(peers, 7, 16);
+        deliver_sums(peers, 7, 16);
     assert_true(ts_instance_failing(instance_at(&fleet, 0), ts_clock_now_us()) < 0.1);
-    give_sums(peers, 7U - (1U << 20U), 16); // a new process begins anywhere
+    deliver_sums(peers, 7U - (1U << 20U), 16); // a restarted process may start at any sequence
     assert_true(ts_instance_failing(instance_at(&fleet, 0), ts_clock_now_us()) > 0.6);
 }
 
-enum { MORE = 9 };
+enum { EXTRA_BACKENDS = 9 };
 
-/* MORE back ends of service a beside i-1, j-0 and so on, that all nodes know. */
-static void enter_many(const fleet_t *fleet)
+/* Registers the backends j-0, j-1, ... of service a and waits until all nodes list them. */
+static void register_extra_backends(const fleet_t *fleet)
 {
-    for (int i = 0; i < MORE; i++) {
+    for (int i = 0; i < EXTRA_BACKENDS; i++) {
         char id[8];
         g_snprintf(id, sizeof(id), "j-%d", i);
-        world_enter_searcher(fleet->world, id, "a", "z1");
+        fixture_register_searcher(fleet->fixture, id, "a", "z1");
     }
     for (int i = 0; i < NODES; i++)
-        assert_true(world_await_knowledge(fleet->world, fleet->nodes[i], 1, 1 + MORE));
+        assert_true(fixture_await_synced(fleet->fixture, fleet->nodes[i], 1, 1 + EXTRA_BACKENDS));
 }
 
-/* A node for which all back ends are late at once, as its own link is, tells nothing of them. */
-static void test_own_trouble_is_not_told(void **state)
+/* A node that sees all backends late at once has a local problem and must not report them. */
+static void test_local_problem_is_not_reported(void **state)
 {
     fleet_t fleet = open_fleet();
-    enter_many(&fleet);
+    register_extra_backends(&fleet);
     int sender = find_collector(&fleet) == 1 ? 2 : 1;
     for (int round = 0; round < 5; round++) {
-        for (int i = 0; i < MORE; i++) {
+        for (int i = 0; i < EXTRA_BACKENDS; i++) {
             char id[8];
             g_snprintf(id, sizeof(id), "j-%d", i);
             ts_instance_t *instance = ts_registry_present(fleet.nodes[sender]->registry, id);
             ts_instance_note_answer(instance, ts_clock_now_us(), 200000, 10000);
         }
-        world_run_ms(fleet.world, 110);
+        fixture_run_ms(fleet.fixture, 110);
     }
     const ts_instance_t *own = ts_registry_present(fleet.nodes[sender]->registry, "j-0");
-    const ts_instance_t *theirs = ts_registry_present(fleet.nodes[3]->registry, "j-0");
+    const ts_instance_t *remote = ts_registry_present(fleet.nodes[3]->registry, "j-0");
     assert_true(ts_instance_slowness(own, ts_clock_now_us()) > 2);
-    assert_true(ts_instance_slowness(theirs, ts_clock_now_us()) < 1.1);
+    assert_true(ts_instance_slowness(remote, ts_clock_now_us()) < 1.1);
 }
 
-/* What several nodes meet at many back ends is no trouble of the node that passes it on. */
-static void test_evidence_of_many_is_passed_on(void **state)
+/* Evidence from several nodes about many backends must be forwarded: it is no local problem. */
+static void test_evidence_about_many_backends_is_forwarded(void **state)
 {
     fleet_t fleet = open_fleet();
     int head = -1;
     for (int i = 0; i < 3; i++)
         head = ts_peers_is_watcher(fleet.nodes[i]->peers) ? i : head;
     assert_true(head >= 0);
-    fleet.nodes[head]->peers->is_collector = false; // whoever it is: the head of z1 passes on
+    // make n3 the collector, so that the head of z1 has to forward the evidence of its zone
+    fleet.nodes[head]->peers->is_collector = false;
     fleet.nodes[head]->peers->collector = fleet.nodes[3]->settings->peers;
     fleet.nodes[3]->peers->is_collector = true;
-    enter_many(&fleet);
-    for (int i = 0; i < MORE; i++) { // each of the two others meets fewer than would be its own
+    register_extra_backends(&fleet);
+    // each of the two other nodes sees too few bad backends for a local problem
+    for (int i = 0; i < EXTRA_BACKENDS; i++) {
         char id[8];
         g_snprintf(id, sizeof(id), "j-%d", i);
         int sender = (head + 1 + i % 2) % 3;
@@ -414,115 +422,116 @@
             ts_instance_note_verdict(ts_registry_present(fleet.nodes[sender]->registry, id), true,
                                      ts_clock_now_us());
     }
-    const ts_instance_t *theirs = ts_registry_present(fleet.nodes[3]->registry, "j-0");
-    for (int i = 0; i < 100 && ts_instance_failing(theirs, ts_clock_now_us()) < 0.4; i++)
-        world_run_ms(fleet.world, 10);
-    assert_true(ts_instance_failing(theirs, ts_clock_now_us()) > 0.4);
+    const ts_instance_t *remote = ts_registry_present(fleet.nodes[3]->registry, "j-0");
+    for (int i = 0; i < 100 && ts_instance_failing(remote, ts_clock_now_us()) < 0.4; i++)
+        fixture_run_ms(fleet.fixture, 10);
+    assert_true(ts_instance_failing(remote, ts_clock_now_us()) > 0.4);
 }
 
-static void test_limits_are_divided_by_the_most_nodes_seen(void **state)
+static void test_limits_are_divided_by_largest_fleet_seen(void **state)
 {
     fleet_t fleet = open_fleet();
-    assert_true(fleet.nodes[0]->nodes > NODES); /* young, hence unsure: the smaller share */
+    assert_true(fleet.nodes[0]->nodes > NODES); /* recently started: assumes a larger fleet */
     for (int i = 0; i < 600 && fleet.nodes[0]->nodes > NODES; i++) {
-        world_run_ms(fleet.world, 10);
+        fixture_run_ms(fleet.fixture, 10);
         ts_gateway_sweep(fleet.nodes[0]);
     }
     double share = fleet.nodes[0]->rule.slack_share;
     assert_int_equal(fleet.nodes[0]->nodes, NODES);
-    assert_true(share <= 0.5 * 60.0 / NODES); /* the fleet grew lately */
+    assert_true(share <= 0.5 * 60.0 / NODES); /* the fleet grew recently */
     fleet.nodes[0]->grown_us -= 60 * TS_US_PER_S;
     ts_gateway_sweep(fleet.nodes[0]);
     assert_true(fleet.nodes[0]->rule.slack_share > share);
     assert_true(fleet.nodes[0]->rule.slack_share < 60.0 / NODES);
-    world_add_gateway(fleet.world, "m5", "z2", world_next_port(), fleet.ports[0],
-                      fleet.world->store_port);
+    fixture_add_gateway(fleet.fixture, "m5", "z2", fixture_next_port(), fleet.ports[0],
+                        fleet.fixture->store_port);
     for (int i = 0; i < 300 && fleet.nodes[0]->nodes < 5; i++) {
-        world_run_ms(fleet.world, 10);
+        fixture_run_ms(fleet.fixture, 10);
     }
     assert_true(fleet.nodes[0]->rule.slack_share < share);
     ts_gateway_leave(fleet.nodes[1]);
-    world_run_ms(fleet.world, 500);
-    assert_int_equal(fleet.nodes[0]->nodes, 5); /* one that is down comes back with full rights */
+    fixture_run_ms(fleet.fixture, 500);
+    assert_int_equal(fleet.nodes[0]->nodes, 5); /* n1 may come back and use its share */
 }
 
-/* The nodes agree on an order for each instance, those of its region first. */
-static void test_places_at_an_instance(void **state)
+/* All nodes agree on the order of nodes for each instance; nodes of its region come first. */
+static void test_node_order_at_instances(void **state)
 {
     fleet_t fleet = open_fleet();
-    world_enter_searcher(fleet.world, "i-2", "a", "z2");
+    fixture_register_searcher(fleet.fixture, "i-2", "a", "z2");
     for (int i = 0; i < NODES; i++)
-        assert_true(world_await_knowledge(fleet.world, fleet.nodes[i], 1, 2));
+        assert_true(fixture_await_synced(fleet.fixture, fleet.nodes[i], 1, 2));
     unsigned seen = 0;
     for (int i = 0; i < NODES; i++) {
         const ts_gateway_t *node = fleet.nodes[i];
         unsigned near = ts_peers_place(node->peers, ts_registry_present(node->registry, "i-1"));
         unsigned far = ts_peers_place(node->peers, ts_registry_present(node->registry, "i-2"));
         seen |= 1U << near;
-        assert_true(i < 3 ? near < 3 : near == 3); /* three nodes stand in the region of i-1 */
+        assert_true(i < 3 ? near < 3 : near == 3); /* n0 to n2 are in the region of i-1 */
         assert_true(i < 3 ? far > 0 : far == 0);
     }
     assert_int_equal(seen, (1U << NODES) - 1);
 }
 
-/* More nodes than one tells by itself: what is known goes down a tree. */
-static void test_large_zone_is_told_down_a_tree(void **state)
+/* A zone with more nodes than one node informs directly: changes are forwarded along a tree. */
+static void test_large_zone_is_informed_along_tree(void **state)
 {
     enum { MANY = 24 };
-    world_t *world = world_open(NULL);
+    fixture_t *fixture = fixture_open(NULL);
     ts_gateway_t *nodes[MANY];
-    world_add_searcher(world, "i-1", "a", "z1");
-    world_configure(world, 1, ROUTE_A);
-    unsigned first_port = world_next_port();
+    fixture_add_searcher(fixture, "i-1", "a", "z1");
+    fixture_put_config(fixture, 1, ROUTE_A);
+    unsigned first_port = fixture_next_port();
     for (int i = 0; i < MANY; i++) {
         char name[8];
         g_snprintf(name, sizeof(name), "n%d", i);
-        nodes[i] = world_add_gateway(world, name, "z1", i == 0 ? first_port : world_next_port(),
-                                     first_port, world->store_port);
+        nodes[i] =
+            fixture_add_gateway(fixture, name, "z1", i == 0 ? first_port : fixture_next_port(),
+                                first_port, fixture->store_port);
     }
     for (int i = 0; i < MANY; i++) {
-        assert_true(world_await_knowledge(world, nodes[i], 1, 1));
+        assert_true(fixture_await_synced(fixture, nodes[i], 1, 1));
         for (int j = 0; j < 500 && ts_peers_count(nodes[i]->peers) < MANY; j++) {
-            world_run_ms(world, 20);
+            fixture_run_ms(fixture, 20);
         }
     }
-    world_run_ms(world, 3000);
+    fixture_run_ms(fixture, 3000);
     unsigned watching = 0;
     for (int i = 0; i < MANY; i++) {
         watching += ts_peers_should_watch(nodes[i]->peers, ts_clock_now_us());
     }
     assert_int_equal(watching, 1);
-    ts_time_us_t begun_us = ts_clock_now_us();
-    world_configure(world, 2, ROUTE_A);
+    ts_time_us_t start_us = ts_clock_now_us();
+    fixture_put_config(fixture, 2, ROUTE_A);
     for (int i = 0; i < MANY; i++) {
-        assert_true(world_await_knowledge(world, nodes[i], 2, 1));
+        assert_true(fixture_await_synced(fixture, nodes[i], 2, 1));
     }
-    assert_true(ts_clock_now_us() - begun_us < 2500 * TS_US_PER_MS);
+    assert_true(ts_clock_now_us() - start_us < 2500 * TS_US_PER_MS);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_one_watcher_a_zone),
-        cmocka_unit_test(test_change_reaches_all_within_the_bound),
-        cmocka_unit_test(test_swallowed_wait_of_a_watcher),
+        cmocka_unit_test(test_one_watcher_per_zone),
+        cmocka_unit_test(test_change_reaches_all_nodes_in_time),
+        cmocka_unit_test(test_lost_poll_of_a_watcher),
         cmocka_unit_test(test_changes_in_quick_succession),
-        cmocka_unit_test(test_newer_version_is_not_fetched_from_afar_at_once),
-        cmocka_unit_test(test_start_while_the_store_is_silent),
-        cmocka_unit_test(test_refused_node_follows_its_peers),
-        cmocka_unit_test(test_watcher_that_leaves_is_replaced),
-        cmocka_unit_test(test_silent_watcher_is_not_waited_for),
-        cmocka_unit_test(test_suspicion_is_shared_in_the_zone),
-        cmocka_unit_test(test_places_at_an_instance),
-        cmocka_unit_test(test_large_zone_is_told_down_a_tree),
+        cmocka_unit_test(test_newer_version_is_not_pulled_from_other_zone_at_once),
+        cmocka_unit_test(test_start_while_store_is_silent),
+        cmocka_unit_test(test_node_without_store_follows_peers),
+        cmocka_unit_test(test_watcher_is_replaced_after_shutdown),
+        cmocka_unit_test(test_silent_watcher_is_bypassed),
+        cmocka_unit_test(test_suspicion_is_shared_within_zone),
+        cmocka_unit_test(test_node_order_at_instances),
+        cmocka_unit_test(test_large_zone_is_informed_along_tree),
         cmocka_unit_test(test_evidence_reaches_every_zone),
         cmocka_unit_test(test_evidence_adds_up),
-        cmocka_unit_test(test_collector_that_leaves_is_replaced),
-        cmocka_unit_test(test_replayed_evidence_is_ignored),
-        cmocka_unit_test(test_evidence_of_another_life_is_ignored),
-        cmocka_unit_test(test_own_trouble_is_not_told),
-        cmocka_unit_test(test_evidence_of_many_is_passed_on),
-        cmocka_unit_test(test_limits_are_divided_by_the_most_nodes_seen),
+        cmocka_unit_test(test_collector_is_replaced_after_shutdown),
+        cmocka_unit_test(test_duplicate_evidence_is_ignored),
+        cmocka_unit_test(test_evidence_about_other_incarnation_is_ignored),
+        cmocka_unit_test(test_local_problem_is_not_reported),
+        cmocka_unit_test(test_evidence_about_many_backends_is_forwarded),
+        cmocka_unit_test(test_limits_are_divided_by_largest_fleet_seen),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/gateway/test_quotas.c
+++ b/tests/gateway/test_quotas.c
@@ -1,4 +1,4 @@
-/** Limits of tenants, at one gateway and over several with real messages between them. */
+/** Rate limits of tenants, at one gateway and across several that exchange real messages. */
 #include "fixture.h"
 
 #include <stdlib.h>
@@ -7,7 +7,7 @@
 #include "tealspar/peers.h"
 
 #define NODES 4
-#define ROUTE_A ROUTE_ONE("one", "/p/", "idempotent", "a", 1500)
+#define ROUTE_A SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500)
 #define TENANTS(rate, burst)                                                                       \
     "{\"name\":\"red\",\"apiKeys\":[\"r\"],\"ratePerS\":" #rate ",\"burst\":" #burst "},"          \
     "{\"name\":\"free\",\"apiKeys\":[\"f\"],\"ratePerS\":0,\"burst\":0}"
@@ -15,130 +15,137 @@
     "{\"version\":" #version ",\"routes\":[" ROUTE_A "],\"services\":[],\"tenants\":[" tenants "]" \
     "}"
 
-static visit_t *ask(world_t *world, unsigned port, const char *key)
+static client_t *send_request(fixture_t *fixture, unsigned port, const char *key)
 {
-    visit_t *visit = visit_open(world, port);
+    client_t *client = client_connect(fixture, port);
     char *text = g_strdup_printf("GET /p/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r\r\n"
                                  "X-Deadline-Ms: 1400\r\nAuthorization: Bearer %s\r\n\r\n",
                                  key);
-    visit_send(visit, text);
+    client_send(client, text);
     g_free(text);
-    return visit;
+    return client;
 }
 
-/* Answers of one status to requests that are sent one after the other, at each port in turn. */
-static unsigned count_answers(world_t *world, const unsigned *ports, unsigned n, unsigned requests,
-                              unsigned wanted)
+/* Sends requests one after the other, to each port in turn; counts responses with the status. */
+static unsigned count_responses(fixture_t *fixture, const unsigned *ports, unsigned n,
+                                unsigned requests, unsigned expected_status)
 {
     unsigned count = 0;
     for (unsigned i = 0; i < requests; i++) {
-        visit_t *visit = ask(world, ports[i % n], "r");
-        unsigned status = visit_await(world, visit);
-        count += status == wanted;
-        visit_close(visit);
+        client_t *client = send_request(fixture, ports[i % n], "r");
+        unsigned status = client_await_response(fixture, client);
+        count += status == expected_status;
+        client_close(client);
     }
     return count;
 }
 
-static world_t *open_world(const char *settings, const char *configuration, lab_searcher_t **back)
+static fixture_t *open_fixture(const char *settings, const char *configuration,
+                               lab_searcher_t **searcher)
 {
-    world_t *world = world_open(settings);
-    *back = world_add_searcher(world, "i-1", "a", "z1");
-    lab_store_put(world->store, "op/config", configuration);
-    world_await_version(world, 1);
-    return world;
+    fixture_t *fixture = fixture_open(settings);
+    *searcher = fixture_add_searcher(fixture, "i-1", "a", "z1");
+    lab_store_put(fixture->store, "op/config", configuration);
+    fixture_await_version(fixture, 1);
+    return fixture;
 }
 
-static void test_over_the_limit(void **state)
+static void test_requests_over_limit(void **state)
 {
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_world(NULL, CONFIGURATION(1, TENANTS(2, 3)), &searcher);
-    world_run_ms(world, 2000); // the bucket fills
-    unsigned served = count_answers(world, &world->callers_port, 1, 12, 200);
-    assert_true(served >= 3 && served <= 6); // a token may come meanwhile
+    fixture_t *fixture = open_fixture(NULL, CONFIGURATION(1, TENANTS(2, 3)), &searcher);
+    fixture_run_ms(fixture, 2000); // until the token bucket is full
+    unsigned served = count_responses(fixture, &fixture->callers_port, 1, 12, 200);
+    assert_true(served >= 3 && served <= 6); // tokens may be added meanwhile
     assert_int_equal(searcher->runs, served);
-    visit_t *visit = ask(world, world->callers_port, "r");
-    assert_int_equal(visit_await(world, visit), 429);
-    double wait_s = strtod(ts_http_message_find(&visit->answer, "Retry-After"), NULL);
+    client_t *client = send_request(fixture, fixture->callers_port, "r");
+    assert_int_equal(client_await_response(fixture, client), 429);
+    double wait_s = strtod(ts_http_message_find(&client->response, "Retry-After"), NULL);
     assert_true(wait_s >= 0.1 && wait_s <= 1.0);
-    assert_int_equal(visit_await(world, ask(world, world->callers_port, "f")), 200); // no limit
-    world_run_ms(world, 1200);
-    assert_int_equal(count_answers(world, &world->callers_port, 1, 1, 200), 1);
+    // tenant without a limit
+    assert_int_equal(
+        client_await_response(fixture, send_request(fixture, fixture->callers_port, "f")), 200);
+    fixture_run_ms(fixture, 1200);
+    assert_int_equal(count_responses(fixture, &fixture->callers_port, 1, 1, 200), 1);
 }
 
-/* A request that could not begin has not used its tenant's limit. */
-static void test_refused_request_gives_its_token_back(void **state)
+/* A request that no backend ran must not count against its tenant's limit. */
+static void test_refused_request_returns_its_token(void **state)
 {
     lab_searcher_t *searcher = NULL;
-    world_t *world = open_world("quota_slack: 8", CONFIGURATION(1, TENANTS(0.1, 2)), &searcher);
-    searcher->behaviour = LAB_SHEDS; // says that it has not run them
-    assert_int_equal(count_answers(world, &world->callers_port, 1, 6, 503), 6);
+    fixture_t *fixture =
+        open_fixture("quota_slack: 8", CONFIGURATION(1, TENANTS(0.1, 2)), &searcher);
+    searcher->behaviour = LAB_SHEDS; // refuses without running the request
+    assert_int_equal(count_responses(fixture, &fixture->callers_port, 1, 6, 503), 6);
     searcher->behaviour = LAB_ANSWERS;
-    world_run_ms(world, 1000); // it is avoided no longer
-    assert_int_equal(count_answers(world, &world->callers_port, 1, 1, 200), 1);
+    fixture_run_ms(fixture, 1000); // until the searcher is not avoided any more
+    assert_int_equal(count_responses(fixture, &fixture->callers_port, 1, 1, 200), 1);
 }
 
 typedef struct fleet {
-    world_t *world;
+    fixture_t *fixture;
     lab_searcher_t *searcher;
     ts_gateway_t *nodes[NODES];
-    unsigned callers[NODES];
+    unsigned callers_ports[NODES];
 } fleet_t;
 
-/* A node with a tolerance of a quarter of the limit and 20 more. */
-static ts_gateway_t *add_tolerant_node(world_t *world, const char *name, const char *zone,
-                                       unsigned peers_port, unsigned seed_port)
+/* Adds a node with a quota tolerance: a quarter of the limit plus 20 requests per window. */
+static ts_gateway_t *add_node_with_tolerance(fixture_t *fixture, const char *name, const char *zone,
+                                             unsigned peers_port, unsigned seed_port)
 {
     char *text = g_strdup_printf(
         "name: %s\nzone: %s\ndialect: platform\ncallers: 127.0.0.1:%u\nready: 127.0.0.1:%u\n"
         "peers: 127.0.0.1:%u\nseeds: ['127.0.0.1:%u']\nstore: 127.0.0.1:%u\n"
         "zones: [{zone: z1, region: r1}, {zone: z2, region: r2}]\n"
         "quota_window_ms: 5000\nquota_overrun: 0.25\nquota_slack: 20\n",
-        name, zone, world_next_port(), world_next_port(), peers_port, seed_port, world->store_port);
-    ts_gateway_t *gateway = world_open_gateway(world, text);
+        name, zone, fixture_next_port(), fixture_next_port(), peers_port, seed_port,
+        fixture->store_port);
+    ts_gateway_t *gateway = fixture_open_gateway(fixture, text);
     g_free(text);
     return gateway;
 }
 
-/* In one zone without a tolerance, or in two with one. */
-static fleet_t open_in_zones(const char *configuration, unsigned zones)
+/* `zones` 1: all nodes in one zone, without a tolerance; 2: in two zones, with a tolerance. */
+static fleet_t open_fleet_in_zones(const char *configuration, unsigned zones)
 {
     static const char *const names[] = {"z1", "z2"};
     fleet_t fleet = {0};
     unsigned peers[NODES];
-    fleet.world = open_world(NULL, configuration, &fleet.searcher);
+    fleet.fixture = open_fixture(NULL, configuration, &fleet.searcher);
     for (int i = 0; i < NODES; i++) {
         char name[8];
         g_snprintf(name, sizeof(name), "n%d", i);
-        peers[i] = world_next_port();
+        peers[i] = fixture_next_port();
         if (zones == 1)
-            fleet.nodes[i] = world_add_gateway(fleet.world, name, "z1", peers[i], peers[0],
-                                               fleet.world->store_port);
+            fleet.nodes[i] = fixture_add_gateway(fleet.fixture, name, "z1", peers[i], peers[0],
+                                                 fleet.fixture->store_port);
         else
-            fleet.nodes[i] = add_tolerant_node(fleet.world, name, names[(unsigned)i % zones],
-                                               peers[i], peers[0]);
-        fleet.callers[i] = (unsigned)atoi(strchr(fleet.nodes[i]->settings->callers, ':') + 1);
+            fleet.nodes[i] = add_node_with_tolerance(
+                fleet.fixture, name, names[(unsigned)i % zones], peers[i], peers[0]);
+        fleet.callers_ports[i] = (unsigned)atoi(strchr(fleet.nodes[i]->settings->callers, ':') + 1);
     }
     for (int i = 0; i < NODES; i++)
-        assert_true(world_await_knowledge(fleet.world, fleet.nodes[i], 1, 1));
+        assert_true(fixture_await_synced(fleet.fixture, fleet.nodes[i], 1, 1));
     for (int i = 0; i < 300 && ts_peers_count(fleet.nodes[NODES - 1]->peers) < NODES; i++)
-        world_run_ms(fleet.world, 10);
-    world_run_ms(fleet.world, 5000); // views settle, young nodes grow sure, buckets fill
+        fixture_run_ms(fleet.fixture, 10);
+    // until views are stable, nodes are past their start-up period and buckets are full
+    fixture_run_ms(fleet.fixture, 5000);
     return fleet;
 }
 
 static fleet_t open_fleet(const char *configuration)
 {
-    return open_in_zones(configuration, 1);
+    return open_fleet_in_zones(configuration, 1);
 }
 
-/* Two nodes in each of two zones. */
-static fleet_t open_zones(const char *configuration)
+/* Two nodes in each of two zones, with a tolerance. */
+static fleet_t open_fleet_in_two_zones(const char *configuration)
 {
-    return open_in_zones(configuration, 2);
+    return open_fleet_in_zones(configuration, 2);
 }
 
-static unsigned home_of(const fleet_t *fleet)
+/* Index of the home node of tenant red: the node that grants its tokens to the others. */
+static unsigned find_home(const fleet_t *fleet)
 {
     const char *address = NULL;
     for (unsigned i = 0; i < NODES; i++) {
@@ -147,148 +154,149 @@
         if (home == TS_RATE_DEALER_SELF)
             return i;
     }
-    fail_msg("no node is home");
+    fail_msg("no node considers itself the home node of tenant red");
     return 0;
 }
 
-/* The limit is one, wherever requests enter. */
-static void test_limit_counts_over_all_nodes(void **state)
+/* One limit applies to the requests of all nodes together. */
+static void test_limit_is_shared_by_all_nodes(void **state)
 {
     fleet_t fleet = open_fleet(CONFIGURATION(1, TENANTS(4, 6)));
-    unsigned served = count_answers(fleet.world, fleet.callers, NODES, 40, 200);
+    unsigned served = count_responses(fleet.fixture, fleet.callers_ports, NODES, 40, 200);
     if (served < 6 || served > 14)
-        print_error("%u served\n", served);
-    assert_true(served >= 6 && served <= 14); // what comes in meanwhile
+        print_error("%u of 40 requests served, expected 6 to 14\n", served);
+    assert_true(served >= 6 && served <= 14); // burst 6 and tokens added meanwhile
     assert_int_equal(fleet.searcher->runs, served);
 }
 
-/* Below the limit everything is served, also at a node where the tenant was not seen before. */
-static void test_usual_use_is_served_everywhere(void **state)
+/* Below the limit every request is served, including at nodes that are new to the tenant. */
+static void test_use_below_limit_is_served_everywhere(void **state)
 {
     fleet_t fleet = open_fleet(CONFIGURATION(1, TENANTS(20, 10)));
-    assert_int_equal(count_answers(fleet.world, fleet.callers, NODES, 8, 200), 8);
+    assert_int_equal(count_responses(fleet.fixture, fleet.callers_ports, NODES, 8, 200), 8);
 }
 
-/* The home is silent: nodes go on as they did, and another one takes its place. */
+/* The home node falls silent: other nodes keep serving and one of them takes over as home. */
 static void test_silent_home(void **state)
 {
     fleet_t fleet = open_fleet(CONFIGURATION(1, TENANTS(20, 10)));
-    unsigned home = home_of(&fleet);
+    unsigned home = find_home(&fleet);
     unsigned other = (home + 1) % NODES;
-    assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 8, 200), 8);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 8, 200), 8);
     ts_peers_set_mute(fleet.nodes[home]->peers, true);
-    assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 1, 200), 1);
-    world_run_ms(fleet.world, 4000);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 1, 200), 1);
+    fixture_run_ms(fleet.fixture, 4000);
     const char *address = NULL;
     ts_rate_dealer_t now = ts_peers_rate_home(fleet.nodes[other]->peers, "red", &address);
     assert_true(now != TS_RATE_DEALER_NONE);
-    assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 6, 200), 6);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 6, 200), 6);
 }
 
 /*
- * The home is silent: nodes go on as they did, and another one takes its place. It may have done so
- * half a second ago, and the silent one lives, hears all and may deal the whole rate to itself: so
- * the new one deals from the tolerance at first.
+ * As test_silent_home, in two zones and with a tolerance. The new home may have taken over only
+ * half a second ago, while the silent one is alive, receives everything and may grant the whole
+ * rate to itself: the new home therefore grants from the tolerance first.
  */
 static void test_silent_home_in_two_zones(void **state)
 {
-    fleet_t fleet = open_zones(CONFIGURATION(1, TENANTS(20, 10)));
-    unsigned home = home_of(&fleet);
+    fleet_t fleet = open_fleet_in_two_zones(CONFIGURATION(1, TENANTS(20, 10)));
+    unsigned home = find_home(&fleet);
     unsigned other = (home + 1) % NODES;
-    assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 8, 200), 8);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 8, 200), 8);
     ts_peers_set_mute(fleet.nodes[home]->peers, true);
-    assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 1, 200), 1);
-    world_run_ms(fleet.world, 4000);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 1, 200), 1);
+    fixture_run_ms(fleet.fixture, 4000);
     const char *address = NULL;
     ts_rate_dealer_t now = ts_peers_rate_home(fleet.nodes[other]->peers, "red", &address);
     assert_true(now != TS_RATE_DEALER_NONE);
-    assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 6, 200), 6);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 6, 200), 6);
 }
 
-/* Without a tolerance nothing may be dealt twice: the new home deals the whole later. */
+/* Without a tolerance no token may be granted twice: the new home reaches the full rate later. */
 static void test_silent_home_without_tolerance(void **state)
 {
     fleet_t fleet = open_fleet(CONFIGURATION(1, TENANTS(20, 10)));
-    unsigned home = home_of(&fleet);
+    unsigned home = find_home(&fleet);
     unsigned other = (home + 1) % NODES;
-    assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 8, 200), 8);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 8, 200), 8);
     ts_peers_set_mute(fleet.nodes[home]->peers, true);
-    assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 1, 200), 1);
-    world_run_ms(fleet.world, 10000); // noticed within four seconds, grown to the whole in six
-    assert_int_equal(count_answers(fleet.world, &fleet.callers[other], 1, 6, 200), 6);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 1, 200), 1);
+    // the loss is detected within 4 s, then the rate grows to the full one within 6 s
+    fixture_run_ms(fleet.fixture, 10000);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 6, 200), 6);
 }
 
-/* Times at which requests of the tenant ran, in windows of 5 s: the most in any. */
-static unsigned most_in_a_window(const GArray *runs)
+/* Largest number of requests in any window of 5 s; `runs`: times at which requests ran. */
+static unsigned max_runs_in_window(const GArray *runs)
 {
-    unsigned most = 0;
+    unsigned max_runs = 0;
     for (guint i = 0, first = 0; i < runs->len; i++) {
         ts_time_us_t at_us = g_array_index(runs, ts_time_us_t, i);
         while (at_us - g_array_index(runs, ts_time_us_t, first) >= 5 * TS_US_PER_S)
             first++;
-        most = MAX(most, i - first + 1);
+        max_runs = MAX(max_runs, i - first + 1);
     }
-    return most;
+    return max_runs;
 }
 
-/* Far more than may comes at all nodes in turn for a span; notes when requests ran. */
-static void surge(const fleet_t *fleet, GArray *runs, ts_time_us_t span_us)
+/* Sends requests far above the limit to all nodes in turn; records when requests ran. */
+static void send_surge(const fleet_t *fleet, GArray *runs, ts_time_us_t duration_us)
 {
-    ts_time_us_t begun_us = ts_clock_now_us();
-    for (unsigned i = 0; ts_clock_now_us() - begun_us < span_us; i++) {
-        visit_t *visit = ask(fleet->world, fleet->callers[i % NODES], "r");
-        unsigned status = visit_await(fleet->world, visit);
+    ts_time_us_t start_us = ts_clock_now_us();
+    for (unsigned i = 0; ts_clock_now_us() - start_us < duration_us; i++) {
+        client_t *client = send_request(fleet->fixture, fleet->callers_ports[i % NODES], "r");
+        unsigned status = client_await_response(fleet->fixture, client);
         ts_time_us_t now_us = ts_clock_now_us();
         if (status == 200)
             g_array_append_val(runs, now_us);
-        visit_close(visit);
+        client_close(client);
     }
 }
 
 /*
- * A home that is only suspected, as what it sends is lost, lives and spends on: whoever takes its
- * place meanwhile, the two together stay within the limit.
+ * A home node whose messages are lost is alive and keeps spending tokens. Together with the node
+ * that takes over meanwhile it must stay within the limit and its tolerance.
  */
 static void test_suspected_home_keeps_the_limit(void **state)
 {
-    fleet_t fleet = open_zones(CONFIGURATION(1, TENANTS(20, 20)));
+    fleet_t fleet = open_fleet_in_two_zones(CONFIGURATION(1, TENANTS(20, 20)));
     GArray *runs = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
-    unsigned home = home_of(&fleet);
-    surge(&fleet, runs, 2 * TS_US_PER_S);
+    unsigned home = find_home(&fleet);
+    send_surge(&fleet, runs, 2 * TS_US_PER_S);
     for (int times = 0; times < 2; times++) {
         ts_peers_set_mute(fleet.nodes[home]->peers, true);
-        surge(&fleet, runs, 3500 * TS_US_PER_MS);
+        send_surge(&fleet, runs, 3500 * TS_US_PER_MS);
         ts_peers_set_mute(fleet.nodes[home]->peers, false);
-        surge(&fleet, runs, 2500 * TS_US_PER_MS);
+        send_surge(&fleet, runs, 2500 * TS_US_PER_MS);
     }
-    unsigned most = most_in_a_window(runs);
-    if (most > 170)
-        print_error("%u in a window of 120 and 50\n", most);
-    assert_true(most <= 170);
-    assert_true(runs->len > 20 * 6); // and not for want of service
+    unsigned max_runs = max_runs_in_window(runs);
+    if (max_runs > 170)
+        print_error("%u requests ran in a window of 5 s: limit 120, tolerance 50\n", max_runs);
+    assert_true(max_runs <= 170);
+    assert_true(runs->len > 20 * 6); // not because too little was served
     g_array_unref(runs);
 }
 
-/* A home that is cut off deals no more well before the others may take it for dead. */
-static void test_home_that_is_cut_off_stops(void **state)
+/* An isolated home stops granting well before other nodes may declare it dead. */
+static void test_isolated_home_stops_granting(void **state)
 {
-    fleet_t fleet = open_zones(CONFIGURATION(1, TENANTS(20, 10)));
-    unsigned home = home_of(&fleet);
+    fleet_t fleet = open_fleet_in_two_zones(CONFIGURATION(1, TENANTS(20, 10)));
+    unsigned home = find_home(&fleet);
     const char *address = NULL;
-    assert_int_equal(count_answers(fleet.world, &fleet.callers[home], 1, 2, 200), 2);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[home], 1, 2, 200), 2);
     for (unsigned i = 0; i < NODES; i++)
-        ts_peers_set_mute(fleet.nodes[i]->peers, i != home); // it hears nobody
-    world_run_ms(fleet.world, 2500);
+        ts_peers_set_mute(fleet.nodes[i]->peers, i != home); // it receives nothing
+    fixture_run_ms(fleet.fixture, 2500);
     assert_int_equal(ts_peers_rate_home(fleet.nodes[home]->peers, "red", &address),
                      TS_RATE_DEALER_NONE);
     for (unsigned i = 0; i < NODES; i++)
         ts_peers_set_mute(fleet.nodes[i]->peers, false);
-    world_run_ms(fleet.world, 1500);
+    fixture_run_ms(fleet.fixture, 1500);
     assert_int_equal(ts_peers_rate_home(fleet.nodes[home]->peers, "red", &address),
                      TS_RATE_DEALER_SELF);
 }
 
-/* A node that sees less than half of the fleet believes nobody home. */
+/* A node that sees less than half of the fleet must not recognize any home node. */
 static void test_minority_has_no_home(void **state)
 {
     fleet_t fleet = open_fleet(CONFIGURATION(1, TENANTS(20, 10)));
@@ -296,26 +304,26 @@
     for (int i = 1; i < NODES; i++)
         ts_peers_set_mute(fleet.nodes[i]->peers, true);
     for (int i = 0; i < 1500 && ts_peers_count(fleet.nodes[0]->peers) > 1; i++)
-        world_run_ms(fleet.world, 10); // until they are declared dead
+        fixture_run_ms(fleet.fixture, 10); // until the others are declared dead
     assert_int_equal(ts_peers_count(fleet.nodes[0]->peers), 1);
     assert_int_equal(ts_peers_rate_home(fleet.nodes[0]->peers, "red", &address),
                      TS_RATE_DEALER_NONE);
-    unsigned served = count_answers(fleet.world, &fleet.callers[0], 1, 12, 200);
-    assert_true(served <= 2); // what it had in hand, and the first that it may spend by itself
+    unsigned served = count_responses(fleet.fixture, &fleet.callers_ports[0], 1, 12, 200);
+    assert_true(served <= 2); // its leased tokens and the first of its fallback rate
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_over_the_limit),
-        cmocka_unit_test(test_refused_request_gives_its_token_back),
-        cmocka_unit_test(test_limit_counts_over_all_nodes),
-        cmocka_unit_test(test_usual_use_is_served_everywhere),
+        cmocka_unit_test(test_requests_over_limit),
+        cmocka_unit_test(test_refused_request_returns_its_token),
+        cmocka_unit_test(test_limit_is_shared_by_all_nodes),
+        cmocka_unit_test(test_use_below_limit_is_served_everywhere),
         cmocka_unit_test(test_silent_home),
         cmocka_unit_test(test_silent_home_in_two_zones),
         cmocka_unit_test(test_silent_home_without_tolerance),
         cmocka_unit_test(test_suspected_home_keeps_the_limit),
-        cmocka_unit_test(test_home_that_is_cut_off_stops),
+        cmocka_unit_test(test_isolated_home_stops_granting),
         cmocka_unit_test(test_minority_has_no_home),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/gateway/test_store_epochs.c
+++ b/tests/gateway/test_store_epochs.c
@@ -1,4 +1,4 @@
-/** One gateway, or a few, and a store whose epochs and answers come in odd ways. */
+/** Restores of the store from an older copy, with missing, old or repeatedly changing epochs. */
 #include "fixture.h"
 
 #include <string.h>
@@ -6,51 +6,51 @@
 #include "../../src/peers/peers_internal.h"
 #include "tealspar/peers.h"
 
-#define ROUTE_A ROUTE_ONE("one", "/p/", "idempotent", "a", 1500)
+#define ROUTE_A SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500)
 #define APPLY_MS 3000
-#define CALLS_A_SECOND_MOST 10
-#define LOST_WRITES 20
+#define CALLS_PER_SECOND_MAX 10
+#define LOST_WRITE_COUNT 20
 
-static void put_version(world_t *world, unsigned version)
+static void put_version(fixture_t *fixture, unsigned version)
 {
     char *text =
         g_strdup_printf("{\"version\":%u,\"routes\":[" ROUTE_A "],\"services\":[]}", version);
-    lab_store_put(world->store, "op/config", text);
+    lab_store_put(fixture->store, "op/config", text);
     g_free(text);
 }
 
-static void put_searcher(world_t *world, const char *id, const char *state)
+static void put_searcher(fixture_t *fixture, const char *id, const char *state)
 {
     char *key = g_strdup_printf("servers/%s", id);
     char *entry = g_strdup_printf("{\"service\":\"a\",\"address\":\"127.0.0.1:1\",\"zone\":\"z1\","
                                   "\"slots\":2,\"state\":\"%s\",\"warmupLeftMs\":0,\"born\":1}",
                                   state);
-    lab_store_put(world->store, key, entry);
+    lab_store_put(fixture->store, key, entry);
     g_free(entry);
     g_free(key);
 }
 
-static void put_noise(world_t *world)
+static void put_unrelated_changes(fixture_t *fixture)
 {
-    for (unsigned i = 0; i < LOST_WRITES; i++)
-        put_searcher(world, "i-noise", i % 2 == 0 ? "draining" : "ready");
+    for (unsigned i = 0; i < LOST_WRITE_COUNT; i++)
+        put_searcher(fixture, "i-noise", i % 2 == 0 ? "draining" : "ready");
 }
 
-static void come_back(world_t *world)
+static void restore_store(fixture_t *fixture)
 {
-    lab_store_set_mode(world->store, LAB_STORE_BUSY);
-    lab_store_cut_waits(world->store);
-    world_run_ms(world, 300);
-    lab_store_restore(world->store, NULL, NULL);
-    lab_store_set_mode(world->store, LAB_STORE_NORMAL);
+    lab_store_set_mode(fixture->store, LAB_STORE_BUSY);
+    lab_store_cut_waits(fixture->store);
+    fixture_run_ms(fixture, 300);
+    lab_store_restore(fixture->store, NULL, NULL);
+    lab_store_set_mode(fixture->store, LAB_STORE_NORMAL);
 }
 
-static bool have_version(world_t *world, const ts_gateway_t *gateway, unsigned version)
+static bool await_version(fixture_t *fixture, const ts_gateway_t *gateway, unsigned version)
 {
     for (unsigned waited = 0; waited < APPLY_MS; waited += 20) {
         if (gateway->traffic != NULL && gateway->traffic->version == version)
             return true;
-        world_run_ms(world, 20);
+        fixture_run_ms(fixture, 20);
     }
     return false;
 }
@@ -61,166 +61,168 @@
     return instance != NULL && instance->is_listed;
 }
 
-static unsigned calls_in_a_second(world_t *world)
-{
-    unsigned before = lab_store_calls(world->store);
-    world_run_ms(world, 1000);
-    return lab_store_calls(world->store) - before;
-}
-
-static void test_store_that_tells_no_epoch_may_come_back(void **state)
-{
-    world_t *world = world_open(NULL);
-    lab_store_set_epoch(world->store, 0);
-    world_configure(world, 1, ROUTE_A);
-    lab_store_take_copy(world->store);
-    put_searcher(world, "i-late", "ready");
-    put_noise(world);
-    world_configure(world, 2, ROUTE_A);
-    come_back(world);
-    assert_true(calls_in_a_second(world) <= CALLS_A_SECOND_MOST);
-    assert_int_equal(world->gateway.traffic->version, 2);
-    assert_true(is_listed(&world->gateway, "i-late"));
-    put_version(world, 9);
-    assert_true(have_version(world, &world->gateway, 9));
-    world_run_ms(world, APPLY_MS);
-    assert_false(is_listed(&world->gateway, "i-late"));
-}
-
-static void test_two_restores_in_a_row(void **state)
-{
-    world_t *world = world_open(NULL);
-    world_configure(world, 1, ROUTE_A);
-    lab_store_take_copy(world->store);
-    put_searcher(world, "i-late", "ready");
-    put_noise(world);
-    world_configure(world, 3, ROUTE_A);
-    come_back(world);
-    put_noise(world);
-    world_run_ms(world, 700);
-    come_back(world);
-    world_run_ms(world, 700);
-    assert_int_equal(world->gateway.traffic->version, 3);
-    assert_true(is_listed(&world->gateway, "i-late"));
-    put_version(world, 9);
-    put_searcher(world, "i-late", "ready");
-    assert_true(have_version(world, &world->gateway, 9));
-    world_run_ms(world, 2 * APPLY_MS);
-    assert_true(is_listed(&world->gateway, "i-late"));
-}
-
-static void test_restore_in_the_middle_of_a_list(void **state)
-{
-    world_t *world = world_open(NULL);
-    lab_store_set_page(world->store, 1);
+static unsigned count_calls_per_second(fixture_t *fixture)
+{
+    unsigned calls_before = lab_store_calls(fixture->store);
+    fixture_run_ms(fixture, 1000);
+    return lab_store_calls(fixture->store) - calls_before;
+}
+
+static void test_restore_of_store_without_epochs(void **state)
+{
+    fixture_t *fixture = fixture_open(NULL);
+    lab_store_set_epoch(fixture->store, 0);
+    fixture_put_config(fixture, 1, ROUTE_A);
+    lab_store_take_copy(fixture->store);
+    put_searcher(fixture, "i-late", "ready");
+    put_unrelated_changes(fixture);
+    fixture_put_config(fixture, 2, ROUTE_A);
+    restore_store(fixture);
+    assert_true(count_calls_per_second(fixture) <= CALLS_PER_SECOND_MAX);
+    assert_int_equal(fixture->gateway.traffic->version, 2);
+    assert_true(is_listed(&fixture->gateway, "i-late"));
+    put_version(fixture, 9);
+    assert_true(await_version(fixture, &fixture->gateway, 9));
+    fixture_run_ms(fixture, APPLY_MS);
+    assert_false(is_listed(&fixture->gateway, "i-late"));
+}
+
+static void test_two_successive_restores(void **state)
+{
+    fixture_t *fixture = fixture_open(NULL);
+    fixture_put_config(fixture, 1, ROUTE_A);
+    lab_store_take_copy(fixture->store);
+    put_searcher(fixture, "i-late", "ready");
+    put_unrelated_changes(fixture);
+    fixture_put_config(fixture, 3, ROUTE_A);
+    restore_store(fixture);
+    put_unrelated_changes(fixture);
+    fixture_run_ms(fixture, 700);
+    restore_store(fixture);
+    fixture_run_ms(fixture, 700);
+    assert_int_equal(fixture->gateway.traffic->version, 3);
+    assert_true(is_listed(&fixture->gateway, "i-late"));
+    put_version(fixture, 9);
+    put_searcher(fixture, "i-late", "ready");
+    assert_true(await_version(fixture, &fixture->gateway, 9));
+    fixture_run_ms(fixture, 2 * APPLY_MS);
+    assert_true(is_listed(&fixture->gateway, "i-late"));
+}
+
+static void test_restore_while_list_is_read(void **state)
+{
+    fixture_t *fixture = fixture_open(NULL);
+    lab_store_set_page(fixture->store, 1);
     for (int i = 0; i < 40; i++) {
         char id[16];
         g_snprintf(id, sizeof(id), "i-%d", i);
-        put_searcher(world, id, "ready");
+        put_searcher(fixture, id, "ready");
     }
-    world_configure(world, 1, ROUTE_A);
-    lab_store_take_copy(world->store);
-    put_noise(world);
-    world_configure(world, 2, ROUTE_A);
-    come_back(world);
-    unsigned before = lab_store_calls(world->store);
-    for (int i = 0; i < 1000 && lab_store_calls(world->store) < before + 5; i++)
-        world_run_ms(world, 1);
-    assert_true(lab_store_calls(world->store) < before + 40); // the list is not over
-    lab_store_restore(world->store, NULL, NULL);
-    put_version(world, 9);
-    assert_true(have_version(world, &world->gateway, 9));
-    assert_int_equal(ts_registry_listed(world->gateway.registry), 41);
+    fixture_put_config(fixture, 1, ROUTE_A);
+    lab_store_take_copy(fixture->store);
+    put_unrelated_changes(fixture);
+    fixture_put_config(fixture, 2, ROUTE_A);
+    restore_store(fixture);
+    unsigned calls_before = lab_store_calls(fixture->store);
+    for (int i = 0; i < 1000 && lab_store_calls(fixture->store) < calls_before + 5; i++)
+        fixture_run_ms(fixture, 1);
+    // the list is still being read
+    assert_true(lab_store_calls(fixture->store) < calls_before + 40);
+    lab_store_restore(fixture->store, NULL, NULL);
+    put_version(fixture, 9);
+    assert_true(await_version(fixture, &fixture->gateway, 9));
+    assert_int_equal(ts_registry_listed(fixture->gateway.registry), 41);
 }
 
-/* Answers of an epoch that is over, or of none, change nothing and are not asked for in haste. */
-static void check_answers_of(uint64_t epoch)
+/* Responses with an earlier epoch or none are ignored and must not cause rapid retries. */
+static void check_responses_with_epoch(uint64_t epoch)
 {
-    world_t *world = world_open(NULL);
-    lab_store_set_epoch(world->store, 5);
-    put_searcher(world, "i-1", "ready");
-    world_configure(world, 1, ROUTE_A);
-    lab_store_set_epoch(world->store, epoch);
-    lab_store_delete(world->store, "servers/i-1");
-    lab_store_cut_waits(world->store);
-    assert_true(calls_in_a_second(world) <= CALLS_A_SECOND_MOST);
-    assert_true(calls_in_a_second(world) <= CALLS_A_SECOND_MOST);
-    assert_true(is_listed(&world->gateway, "i-1"));
-    lab_store_set_epoch(world->store, 5);
-    put_version(world, 2);
-    assert_true(have_version(world, &world->gateway, 2));
-    assert_false(is_listed(&world->gateway, "i-1"));
+    fixture_t *fixture = fixture_open(NULL);
+    lab_store_set_epoch(fixture->store, 5);
+    put_searcher(fixture, "i-1", "ready");
+    fixture_put_config(fixture, 1, ROUTE_A);
+    lab_store_set_epoch(fixture->store, epoch);
+    lab_store_delete(fixture->store, "servers/i-1");
+    lab_store_cut_waits(fixture->store);
+    assert_true(count_calls_per_second(fixture) <= CALLS_PER_SECOND_MAX);
+    assert_true(count_calls_per_second(fixture) <= CALLS_PER_SECOND_MAX);
+    assert_true(is_listed(&fixture->gateway, "i-1"));
+    lab_store_set_epoch(fixture->store, 5);
+    put_version(fixture, 2);
+    assert_true(await_version(fixture, &fixture->gateway, 2));
+    assert_false(is_listed(&fixture->gateway, "i-1"));
 }
 
-static void test_answers_of_an_earlier_epoch_are_not_believed(void **state)
+static void test_responses_of_earlier_epoch_are_ignored(void **state)
 {
-    check_answers_of(4);
+    check_responses_with_epoch(4);
 }
 
-static void test_answers_without_an_epoch_are_not_believed(void **state)
+static void test_responses_without_epoch_are_ignored(void **state)
 {
-    check_answers_of(0);
+    check_responses_with_epoch(0);
 }
 
 typedef struct pair {
-    ts_gateway_t *reader; /* of z1, with the store */
-    ts_gateway_t *cut;    /* of z2, cut off from it */
+    ts_gateway_t *reader;   /* in z1, reads the store */
+    ts_gateway_t *isolated; /* in z2, cannot reach the store */
 } pair_t;
 
-static pair_t open_pair(world_t *world)
+static pair_t open_pair(fixture_t *fixture)
 {
-    unsigned reader_port = world_next_port();
-    unsigned cut_port = world_next_port();
-    pair_t pair = {
-        .reader = world_add_gateway(world, "n1", "z1", reader_port, cut_port, world->store_port),
-        .cut = world_add_gateway(world, "n2", "z2", cut_port, reader_port, 0)};
-    assert_true(have_version(world, pair.reader, 1));
-    assert_true(have_version(world, pair.cut, 1));
+    unsigned reader_port = fixture_next_port();
+    unsigned isolated_port = fixture_next_port();
+    pair_t pair = {.reader = fixture_add_gateway(fixture, "n1", "z1", reader_port, isolated_port,
+                                                 fixture->store_port),
+                   .isolated =
+                       fixture_add_gateway(fixture, "n2", "z2", isolated_port, reader_port, 0)};
+    assert_true(await_version(fixture, pair.reader, 1));
+    assert_true(await_version(fixture, pair.isolated, 1));
     return pair;
 }
 
-/* A node without the store asks its peers now and then. */
-static void await_draining(world_t *world, const ts_gateway_t *gateway, const char *id)
+/* Waits longer than APPLY_MS: a node without the store polls its peers only now and then. */
+static void await_draining(fixture_t *fixture, const ts_gateway_t *gateway, const char *id)
 {
     for (unsigned waited = 0; waited < 2 * APPLY_MS; waited += 20) {
         if (ts_registry_present(gateway->registry, id)->is_draining)
             return;
-        world_run_ms(world, 20);
+        fixture_run_ms(fixture, 20);
     }
-    fail_msg("%s does not drain", id);
-}
-
-static void test_node_that_is_cut_off_hears_of_a_restore_from_peers(void **state)
-{
-    world_t *world = world_open(NULL);
-    put_searcher(world, "i-1", "ready");
-    world_configure(world, 1, ROUTE_A);
-    pair_t pair = open_pair(world);
-    lab_store_take_copy(world->store);
-    put_noise(world);
-    put_searcher(world, "i-1", "draining");
-    await_draining(world, pair.cut, "i-1");
-    come_back(world);
-    world_run_ms(world, 2000);
-    assert_int_equal(ts_store_mirror_position(pair.cut->mirror).epoch,
+    fail_msg("instance %s is not draining on the node after 2 * APPLY_MS", id);
+}
+
+static void test_isolated_node_learns_of_restore_from_peers(void **state)
+{
+    fixture_t *fixture = fixture_open(NULL);
+    put_searcher(fixture, "i-1", "ready");
+    fixture_put_config(fixture, 1, ROUTE_A);
+    pair_t pair = open_pair(fixture);
+    lab_store_take_copy(fixture->store);
+    put_unrelated_changes(fixture);
+    put_searcher(fixture, "i-1", "draining");
+    await_draining(fixture, pair.isolated, "i-1");
+    restore_store(fixture);
+    fixture_run_ms(fixture, 2000);
+    assert_int_equal(ts_store_mirror_position(pair.isolated->mirror).epoch,
                      ts_store_mirror_position(pair.reader->mirror).epoch);
-    assert_true(ts_registry_present(pair.cut->registry, "i-1")->is_draining);
-    put_version(world, 9);
-    assert_true(have_version(world, pair.cut, 9));
-    lab_store_delete(world->store, "servers/i-1");
-    world_run_ms(world, APPLY_MS);
-    assert_false(is_listed(pair.cut, "i-1"));
+    assert_true(ts_registry_present(pair.isolated->registry, "i-1")->is_draining);
+    put_version(fixture, 9);
+    assert_true(await_version(fixture, pair.isolated, 9));
+    lab_store_delete(fixture->store, "servers/i-1");
+    fixture_run_ms(fixture, APPLY_MS);
+    assert_false(is_listed(pair.isolated, "i-1"));
 }
 
-/* Frames without an epoch, as those of a build that knows none: whatever their revision. */
-static void test_peers_without_an_epoch_are_not_believed(void **state)
+/* Frames without an epoch, as older builds send them, are ignored whatever their revision. */
+static void test_peer_frames_without_epoch_are_ignored(void **state)
 {
-    world_t *world = world_open(NULL);
-    put_searcher(world, "i-1", "ready");
-    world_configure(world, 1, ROUTE_A);
-    ts_peers_t *peers = open_pair(world).reader->peers;
+    fixture_t *fixture = fixture_open(NULL);
+    put_searcher(fixture, "i-1", "ready");
+    fixture_put_config(fixture, 1, ROUTE_A);
+    ts_peers_t *peers = open_pair(fixture).reader->peers;
     char address[32];
-    g_snprintf(address, sizeof(address), "127.0.0.1:%u", world_next_port()); // nobody answers
+    g_snprintf(address, sizeof(address), "127.0.0.1:%u", fixture_next_port()); // nobody listens
     TsPeer__Beacon beacon = TS_PEER__BEACON__INIT;
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
     beacon.revision = 1000;
@@ -240,13 +242,13 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_store_that_tells_no_epoch_may_come_back),
-        cmocka_unit_test(test_two_restores_in_a_row),
-        cmocka_unit_test(test_restore_in_the_middle_of_a_list),
-        cmocka_unit_test(test_answers_of_an_earlier_epoch_are_not_believed),
-        cmocka_unit_test(test_answers_without_an_epoch_are_not_believed),
-        cmocka_unit_test(test_node_that_is_cut_off_hears_of_a_restore_from_peers),
-        cmocka_unit_test(test_peers_without_an_epoch_are_not_believed),
+        cmocka_unit_test(test_restore_of_store_without_epochs),
+        cmocka_unit_test(test_two_successive_restores),
+        cmocka_unit_test(test_restore_while_list_is_read),
+        cmocka_unit_test(test_responses_of_earlier_epoch_are_ignored),
+        cmocka_unit_test(test_responses_without_epoch_are_ignored),
+        cmocka_unit_test(test_isolated_node_learns_of_restore_from_peers),
+        cmocka_unit_test(test_peer_frames_without_epoch_are_ignored),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/gateway/test_store_restore.c
+++ b/tests/gateway/test_store_restore.c
@@ -1,4 +1,4 @@
-/** Several gateways, and a store that comes back from a copy that lacks its latest changes. */
+/** Several gateways, and a store that is restored from a copy without its latest changes. */
 #include "fixture.h"
 
 #include <string.h>
@@ -6,52 +6,52 @@
 #include "tealspar/peers.h"
 
 #define NODES 4
-#define ROUTE_A ROUTE_ONE("one", "/p/", "idempotent", "a", 1500)
-/* A change is in force everywhere so long after its acknowledgement. */
+#define ROUTE_A SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500)
+/* A change is active on all nodes within this time after the store acknowledged it. */
 #define APPLY_MS 3000
-/* The same while the service has been back for less than this. */
-#define CONTACT_MS 5000
-/* The service bears more; two of the gateways read it. */
-#define CALLS_A_SECOND_MOST 20
-#define AWAY_MS 1500
-/* Writes after the copy was taken, so that revisions must be given out again for a while. */
-#define LOST_WRITES 20
+/* APPLY_MS holds again this long after the store has recovered. */
+#define RECOVERY_MS 5000
+/* Two of the gateways read the store; it can serve more calls than this. */
+#define CALLS_PER_SECOND_MAX 20
+#define OUTAGE_MS 1500
+/* Writes after the copy was taken: their revisions are reused after the restore. */
+#define LOST_WRITE_COUNT 20
 #define STEP_MS 20
 
 typedef struct fleet {
-    world_t *world;
+    fixture_t *fixture;
     lab_store_t *store;
     ts_gateway_t *nodes[NODES];
     unsigned ports[NODES];
-    unsigned calls_most; /* to the store, in any second that was watched */
+    unsigned max_calls_per_second; /* most calls to the store in any second that was measured */
 } fleet_t;
 
 static ts_gateway_t *add_node(fleet_t *fleet, const char *name, const char *zone, unsigned port)
 {
-    return world_add_gateway(fleet->world, name, zone, port, fleet->ports[0],
-                             fleet->world->store_port);
+    return fixture_add_gateway(fleet->fixture, name, zone, port, fleet->ports[0],
+                               fleet->fixture->store_port);
 }
 
-/* Two nodes in each of two zones; the store has version 1 and the back ends i-1 to i-3. */
+/* Two nodes in each of two zones; the store has version 1 and the backends i-1 to i-3. */
 static fleet_t open_fleet(void)
 {
-    fleet_t fleet = {.world = world_open(NULL)};
-    fleet.store = fleet.world->store;
-    world_add_searcher(fleet.world, "i-1", "a", "z1");
-    world_add_searcher(fleet.world, "i-2", "a", "z1");
-    world_add_searcher(fleet.world, "i-3", "a", "z2");
-    world_configure(fleet.world, 1, ROUTE_A);
+    fleet_t fleet = {.fixture = fixture_open(NULL)};
+    fleet.store = fleet.fixture->store;
+    fixture_add_searcher(fleet.fixture, "i-1", "a", "z1");
+    fixture_add_searcher(fleet.fixture, "i-2", "a", "z1");
+    fixture_add_searcher(fleet.fixture, "i-3", "a", "z2");
+    fixture_put_config(fleet.fixture, 1, ROUTE_A);
     for (int i = 0; i < NODES; i++) {
         char name[8];
         g_snprintf(name, sizeof(name), "n%d", i);
-        fleet.ports[i] = world_next_port();
+        fleet.ports[i] = fixture_next_port();
         fleet.nodes[i] = add_node(&fleet, name, i < NODES / 2 ? "z1" : "z2", fleet.ports[i]);
     }
     for (int i = 0; i < NODES; i++)
-        assert_true(world_await_knowledge(fleet.world, fleet.nodes[i], 1, 3));
+        assert_true(fixture_await_synced(fleet.fixture, fleet.nodes[i], 1, 3));
     for (int i = 0; i < 300 && ts_peers_count(fleet.nodes[NODES - 1]->peers) < NODES; i++)
-        world_run_ms(fleet.world, 10);
-    world_run_ms(fleet.world, 1000);
+        fixture_run_ms(fleet.fixture, 10);
+    fixture_run_ms(fleet.fixture, 1000);
     return fleet;
 }
 
@@ -74,47 +74,48 @@
     g_free(key);
 }
 
-/* Changes of an entry that no test looks at. */
-static void put_noise(fleet_t *fleet, unsigned n)
+/* Writes an entry that no test checks. */
+static void put_unrelated_changes(fleet_t *fleet, unsigned n)
 {
     for (unsigned i = 0; i < n; i++)
         put_searcher(fleet, "i-noise", i % 2 == 0 ? "draining" : "ready", 1);
 }
 
-static void watch_calls(fleet_t *fleet, unsigned span_ms)
+static void measure_calls(fleet_t *fleet, unsigned duration_ms)
 {
-    for (unsigned i = 0; i < span_ms / 1000; i++) {
-        unsigned before = lab_store_calls(fleet->store);
-        world_run_ms(fleet->world, 1000);
-        fleet->calls_most = MAX(fleet->calls_most, lab_store_calls(fleet->store) - before);
+    for (unsigned i = 0; i < duration_ms / 1000; i++) {
+        unsigned calls_before = lab_store_calls(fleet->store);
+        fixture_run_ms(fleet->fixture, 1000);
+        fleet->max_calls_per_second =
+            MAX(fleet->max_calls_per_second, lab_store_calls(fleet->store) - calls_before);
     }
 }
 
-static bool have_version(const fleet_t *fleet, unsigned version)
+static bool is_version_active(const fleet_t *fleet, unsigned version)
 {
-    bool have = true;
+    bool is_active = true;
     for (int i = 0; i < NODES; i++)
-        have &= fleet->nodes[i]->traffic->version == version;
-    return have;
+        is_active &= fleet->nodes[i]->traffic->version == version;
+    return is_active;
 }
 
-/* Returns after how long all have the version; `within_ms` and more: not all have it. */
-static unsigned await_version(fleet_t *fleet, unsigned version, unsigned within_ms)
+/* Returns how long it took until all nodes had the version; >= `timeout_ms`: they did not. */
+static unsigned await_version(fleet_t *fleet, unsigned version, unsigned timeout_ms)
 {
     unsigned waited = 0;
-    for (; waited < within_ms && !have_version(fleet, version); waited += STEP_MS)
-        world_run_ms(fleet->world, STEP_MS);
+    for (; waited < timeout_ms && !is_version_active(fleet, version); waited += STEP_MS)
+        fixture_run_ms(fleet->fixture, STEP_MS);
     return waited;
 }
 
-static void leave(fleet_t *fleet)
+static void stop_store(fleet_t *fleet)
 {
     lab_store_set_mode(fleet->store, LAB_STORE_BUSY);
     lab_store_cut_waits(fleet->store);
-    world_run_ms(fleet->world, AWAY_MS);
+    fixture_run_ms(fleet->fixture, OUTAGE_MS);
 }
 
-static void come_back(fleet_t *fleet)
+static void restore_store(fleet_t *fleet)
 {
     lab_store_restore(fleet->store, NULL, NULL);
     lab_store_set_mode(fleet->store, LAB_STORE_NORMAL);
@@ -140,103 +141,103 @@
         assert_int_equal(ts_registry_is_evacuated(fleet->nodes[i]->registry, zone), is_evacuated);
 }
 
-static void check_change_after_restore(unsigned after_ms)
+static void check_change_after_restore(unsigned delay_ms)
 {
     fleet_t fleet = open_fleet();
     lab_store_take_copy(fleet.store);
-    put_noise(&fleet, LOST_WRITES);
+    put_unrelated_changes(&fleet, LOST_WRITE_COUNT);
     put_version(&fleet, 2);
     assert_true(await_version(&fleet, 2, APPLY_MS) < APPLY_MS);
-    leave(&fleet);
-    come_back(&fleet);
+    stop_store(&fleet);
+    restore_store(&fleet);
     put_version(&fleet, 2);
-    world_run_ms(fleet.world, after_ms);
+    fixture_run_ms(fleet.fixture, delay_ms);
     put_version(&fleet, 9);
     unsigned waited = await_version(&fleet, 9, APPLY_MS);
-    watch_calls(&fleet, 3000);
+    measure_calls(&fleet, 3000);
     if (waited >= APPLY_MS)
-        print_error("not in force everywhere in %u ms; %u calls in a second\n", waited,
-                    fleet.calls_most);
+        print_error("version 9 is not active on all nodes after %u ms; up to %u calls per second\n",
+                    waited, fleet.max_calls_per_second);
     assert_true(waited < APPLY_MS);
-    assert_true(fleet.calls_most <= CALLS_A_SECOND_MOST);
+    assert_true(fleet.max_calls_per_second <= CALLS_PER_SECOND_MAX);
 }
 
-static void test_change_soon_after_a_restore_is_put_in_force(void **state)
+static void test_change_soon_after_restore_is_applied(void **state)
 {
     check_change_after_restore(300);
 }
 
-static void test_change_a_while_after_a_restore_is_put_in_force(void **state)
+static void test_change_some_time_after_restore_is_applied(void **state)
 {
     check_change_after_restore(2500);
 }
 
-static void test_restored_store_is_not_asked_without_pause(void **state)
+static void test_restored_store_is_not_polled_rapidly(void **state)
 {
     fleet_t fleet = open_fleet();
     lab_store_take_copy(fleet.store);
-    put_noise(&fleet, LOST_WRITES);
-    world_run_ms(fleet.world, 2000);
-    leave(&fleet);
-    come_back(&fleet);
-    watch_calls(&fleet, 4000);
-    if (fleet.calls_most > CALLS_A_SECOND_MOST)
-        print_error("%u calls in a second\n", fleet.calls_most);
-    assert_true(fleet.calls_most <= CALLS_A_SECOND_MOST);
+    put_unrelated_changes(&fleet, LOST_WRITE_COUNT);
+    fixture_run_ms(fleet.fixture, 2000);
+    stop_store(&fleet);
+    restore_store(&fleet);
+    measure_calls(&fleet, 4000);
+    if (fleet.max_calls_per_second > CALLS_PER_SECOND_MAX)
+        print_error("%u calls per second\n", fleet.max_calls_per_second);
+    assert_true(fleet.max_calls_per_second <= CALLS_PER_SECOND_MAX);
 }
 
-/* The store has given out more revisions anew than were lost before anybody asks it again. */
-static void test_change_behind_reused_revisions_is_put_in_force(void **state)
+/* The store has reused more revisions than were lost before any node calls it again. */
+static void test_change_behind_reused_revisions_is_applied(void **state)
 {
     fleet_t fleet = open_fleet();
     lab_store_take_copy(fleet.store);
-    put_noise(&fleet, LOST_WRITES);
-    world_run_ms(fleet.world, 2000);
+    put_unrelated_changes(&fleet, LOST_WRITE_COUNT);
+    fixture_run_ms(fleet.fixture, 2000);
     lab_store_set_mode(fleet.store, LAB_STORE_SILENT);
     lab_store_restore(fleet.store, NULL, NULL);
     put_version(&fleet, 9);
-    put_noise(&fleet, 2 * LOST_WRITES);
+    put_unrelated_changes(&fleet, 2 * LOST_WRITE_COUNT);
     lab_store_set_mode(fleet.store, LAB_STORE_NORMAL);
-    assert_true(await_version(&fleet, 9, CONTACT_MS) < CONTACT_MS);
+    assert_true(await_version(&fleet, 9, RECOVERY_MS) < RECOVERY_MS);
 }
 
-static void test_older_configuration_of_a_copy_is_not_put_in_force(void **state)
+static void test_older_configuration_of_copy_is_not_applied(void **state)
 {
     fleet_t fleet = open_fleet();
     lab_store_take_copy(fleet.store);
     put_version(&fleet, 2);
     assert_true(await_version(&fleet, 2, APPLY_MS) < APPLY_MS);
-    leave(&fleet);
-    come_back(&fleet);
-    ts_gateway_t *late = add_node(&fleet, "late", "z1", world_next_port());
-    world_run_ms(fleet.world, APPLY_MS);
-    assert_true(have_version(&fleet, 2));
-    assert_int_equal(late->traffic->version, 2); // from its peers
+    stop_store(&fleet);
+    restore_store(&fleet);
+    ts_gateway_t *late_node = add_node(&fleet, "late", "z1", fixture_next_port());
+    fixture_run_ms(fleet.fixture, APPLY_MS);
+    assert_true(is_version_active(&fleet, 2));
+    assert_int_equal(late_node->traffic->version, 2); // from its peers
     put_version(&fleet, 3);
     assert_true(await_version(&fleet, 3, APPLY_MS) < APPLY_MS);
-    assert_true(world_await_knowledge(fleet.world, late, 3, 3));
+    assert_true(fixture_await_synced(fleet.fixture, late_node, 3, 3));
 }
 
-static void test_back_ends_missing_in_a_copy_are_kept_until_they_write_again(void **state)
+static void test_backends_missing_in_copy_are_kept_until_rewritten(void **state)
 {
     fleet_t fleet = open_fleet();
     lab_store_take_copy(fleet.store);
     put_searcher(&fleet, "i-writes", "ready", 1);
     put_searcher(&fleet, "i-ended", "ready", 1);
-    world_run_ms(fleet.world, 2000);
-    leave(&fleet);
-    come_back(&fleet);
-    world_run_ms(fleet.world, 1000);
+    fixture_run_ms(fleet.fixture, 2000);
+    stop_store(&fleet);
+    restore_store(&fleet);
+    fixture_run_ms(fleet.fixture, 1000);
     assert_listed(&fleet, "i-writes", true);
     assert_listed(&fleet, "i-ended", true);
     put_searcher(&fleet, "i-writes", "ready", 1);
-    world_run_ms(fleet.world, CONTACT_MS);
+    fixture_run_ms(fleet.fixture, RECOVERY_MS);
     assert_listed(&fleet, "i-writes", true);
     assert_listed(&fleet, "i-ended", false);
     assert_listed(&fleet, "i-1", true);
 }
 
-static void test_back_ends_that_left_do_not_come_back_with_a_copy(void **state)
+static void test_removed_backends_do_not_return_with_copy(void **state)
 {
     fleet_t fleet = open_fleet();
     put_searcher(&fleet, "i-restarted", "ready", 1);
@@ -244,11 +245,11 @@
     put_searcher(&fleet, "i-1", "draining", 1);
     put_searcher(&fleet, "i-restarted", "ready", 2);
     lab_store_delete(fleet.store, "servers/i-2");
-    world_run_ms(fleet.world, 2000);
+    fixture_run_ms(fleet.fixture, 2000);
     assert_draining(&fleet, "i-1");
-    leave(&fleet);
-    come_back(&fleet);
-    world_run_ms(fleet.world, 1000);
+    stop_store(&fleet);
+    restore_store(&fleet);
+    fixture_run_ms(fleet.fixture, 1000);
     assert_draining(&fleet, "i-1");
     assert_listed(&fleet, "i-2", false);
     for (int i = 0; i < NODES; i++)
@@ -256,30 +257,30 @@
     put_searcher(&fleet, "i-1", "draining", 1);
     put_searcher(&fleet, "i-restarted", "ready", 2);
     lab_store_delete(fleet.store, "servers/i-2");
-    world_run_ms(fleet.world, CONTACT_MS);
+    fixture_run_ms(fleet.fixture, RECOVERY_MS);
     assert_draining(&fleet, "i-1");
     assert_listed(&fleet, "i-2", false);
     for (int i = 0; i < NODES; i++)
         assert_int_equal(ts_registry_present(fleet.nodes[i]->registry, "i-restarted")->born_ms, 2);
 }
 
-static void test_evacuations_stand_until_the_operator_writes_again(void **state)
+static void test_evacuations_are_kept_until_rewritten(void **state)
 {
     fleet_t fleet = open_fleet();
     lab_store_put(fleet.store, "op/evacuate/z2", "{}");
-    world_run_ms(fleet.world, 2000);
+    fixture_run_ms(fleet.fixture, 2000);
     lab_store_take_copy(fleet.store);
     lab_store_put(fleet.store, "op/evacuate/z1", "{}");
     lab_store_delete(fleet.store, "op/evacuate/z2");
-    world_run_ms(fleet.world, 2000);
-    leave(&fleet);
-    come_back(&fleet);
-    world_run_ms(fleet.world, 1000);
+    fixture_run_ms(fleet.fixture, 2000);
+    stop_store(&fleet);
+    restore_store(&fleet);
+    fixture_run_ms(fleet.fixture, 1000);
     assert_evacuated(&fleet, "z1", true);
     assert_evacuated(&fleet, "z2", false);
     lab_store_put(fleet.store, "op/evacuate/z1", "{}");
     lab_store_delete(fleet.store, "op/evacuate/z2");
-    world_run_ms(fleet.world, CONTACT_MS);
+    fixture_run_ms(fleet.fixture, RECOVERY_MS);
     assert_evacuated(&fleet, "z1", true);
     assert_evacuated(&fleet, "z2", false);
 }
@@ -287,14 +288,14 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_change_soon_after_a_restore_is_put_in_force),
-        cmocka_unit_test(test_change_a_while_after_a_restore_is_put_in_force),
-        cmocka_unit_test(test_restored_store_is_not_asked_without_pause),
-        cmocka_unit_test(test_change_behind_reused_revisions_is_put_in_force),
-        cmocka_unit_test(test_older_configuration_of_a_copy_is_not_put_in_force),
-        cmocka_unit_test(test_back_ends_missing_in_a_copy_are_kept_until_they_write_again),
-        cmocka_unit_test(test_back_ends_that_left_do_not_come_back_with_a_copy),
-        cmocka_unit_test(test_evacuations_stand_until_the_operator_writes_again),
+        cmocka_unit_test(test_change_soon_after_restore_is_applied),
+        cmocka_unit_test(test_change_some_time_after_restore_is_applied),
+        cmocka_unit_test(test_restored_store_is_not_polled_rapidly),
+        cmocka_unit_test(test_change_behind_reused_revisions_is_applied),
+        cmocka_unit_test(test_older_configuration_of_copy_is_not_applied),
+        cmocka_unit_test(test_backends_missing_in_copy_are_kept_until_rewritten),
+        cmocka_unit_test(test_removed_backends_do_not_return_with_copy),
+        cmocka_unit_test(test_evacuations_are_kept_until_rewritten),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/gateway/test_suspension.c
+++ b/tests/gateway/test_suspension.c
@@ -1,6 +1,6 @@
 /**
- * A machine that was suspended: its boot time went on, timers and the steady clock stood still. The
- * boot time is put forward here, by a wrapped clock_gettime.
+ * Suspension of the machine: CLOCK_BOOTTIME advances while timers and CLOCK_MONOTONIC stand still.
+ * Simulated by a wrapper of clock_gettime that adds to CLOCK_BOOTTIME.
  */
 #include "fixture.h"
 
@@ -9,10 +9,10 @@
 #include "tealspar/counters.h"
 
 #define SUSPENDED_S 5
-#define CALLERS 8U
-#define ROUTE_A ROUTE_ONE("one", "/p/", "idempotent", "a", 1500)
+#define CLIENTS 8U
+#define ROUTE_A SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500)
 
-static time_t suspended_s; /* so far */
+static time_t suspended_s; /* total of all suspensions */
 
 int __real_clock_gettime(clockid_t clock, struct timespec *time); // NOLINT
 int __wrap_clock_gettime(clockid_t clock, struct timespec *time); // NOLINT
@@ -24,7 +24,7 @@
     return status;
 }
 
-static void test_clock_counts_suspension(void **state)
+static void test_clock_includes_suspension(void **state)
 {
     ts_time_us_t before_us = ts_clock_now_us();
     suspended_s += SUSPENDED_S;
@@ -33,122 +33,123 @@
     assert_true(span_us < (SUSPENDED_S + 1) * TS_US_PER_S);
 }
 
-static void send_request(visit_t *visit, unsigned deadline_ms)
+static void send_request(client_t *client, unsigned deadline_ms)
 {
     char *text = g_strdup_printf("GET /p/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r\r\n"
                                  "X-Deadline-Ms: %u\r\n\r\n",
                                  deadline_ms);
-    visit_send(visit, text);
+    client_send(client, text);
     g_free(text);
 }
 
-static visit_t *ask(world_t *world, unsigned deadline_ms)
+static client_t *start_request(fixture_t *fixture, unsigned deadline_ms)
 {
-    visit_t *visit = visit_open(world, world->callers_port);
-    send_request(visit, deadline_ms);
-    return visit;
+    client_t *client = client_connect(fixture, fixture->callers_port);
+    send_request(client, deadline_ms);
+    return client;
 }
 
-/* What is out when the machine is suspended ends at once after, and nothing more is sent. */
-static void test_request_under_way_ends(void **state)
+/* A request in flight at suspension times out right after resume and is not sent again. */
+static void test_request_in_flight_times_out(void **state)
 {
-    world_t *world = world_open(NULL);
-    lab_searcher_t *first = world_add_searcher(world, "i-1", "a", "z1");
-    lab_searcher_t *second = world_add_searcher(world, "i-2", "a", "z2");
+    fixture_t *fixture = fixture_open(NULL);
+    lab_searcher_t *first = fixture_add_searcher(fixture, "i-1", "a", "z1");
+    lab_searcher_t *second = fixture_add_searcher(fixture, "i-2", "a", "z2");
     first->behaviour = LAB_HANGS;
     second->behaviour = LAB_HANGS;
-    world_configure(world, 1, ROUTE_ONE("once", "/p/", "non_idempotent", "a", 1500));
-    visit_t *visit = ask(world, 1400);
-    world_run_ms(world, 400); // nothing is due any more but its deadline
+    fixture_put_config(fixture, 1, SERVICE_ROUTE_JSON("once", "/p/", "non_idempotent", "a", 1500));
+    client_t *client = start_request(fixture, 1400);
+    fixture_run_ms(fixture, 400); // only the timer of its deadline is pending
     assert_int_equal(first->runs + second->runs, 1);
-    int64_t seen = ts_counter_value(TS_COUNTER_STANDSTILLS);
+    int64_t standstills_before = ts_counter_value(TS_COUNTER_STANDSTILLS);
     suspended_s += SUSPENDED_S;
     unsigned status = 0;
     for (int i = 0; i < 20 && status == 0; i++) {
-        world_run_ms(world, 5);
-        status = visit->answer.is_complete ? visit->answer.parser.status_code : 0;
+        fixture_run_ms(fixture, 5);
+        status = client->response.is_complete ? client->response.parser.status_code : 0;
     }
     assert_int_equal(status, 504);
     assert_int_equal(first->runs + second->runs, 1);
-    assert_int_equal(ts_counter_value(TS_COUNTER_STANDSTILLS), seen + 1);
+    assert_int_equal(ts_counter_value(TS_COUNTER_STANDSTILLS), standstills_before + 1);
 }
 
-/* A second send that is due when the machine wakes is not made: nobody waits any more. */
-static void test_no_second_send_after_waking(void **state)
+/* A hedge that is due at resume is not sent: the deadline of the request has passed. */
+static void test_no_hedge_after_resume(void **state)
 {
-    world_t *world = world_open(NULL);
-    lab_searcher_t *first = world_add_searcher(world, "i-1", "a", "z1");
-    lab_searcher_t *second = world_add_searcher(world, "i-2", "a", "z2");
+    fixture_t *fixture = fixture_open(NULL);
+    lab_searcher_t *first = fixture_add_searcher(fixture, "i-1", "a", "z1");
+    lab_searcher_t *second = fixture_add_searcher(fixture, "i-2", "a", "z2");
     first->behaviour = LAB_HANGS;
     second->behaviour = LAB_HANGS;
-    world_configure(world, 1, ROUTE_A);
-    (void)ask(world, 1400);
-    world_run_ms(world, 5);
+    fixture_put_config(fixture, 1, ROUTE_A);
+    (void)start_request(fixture, 1400);
+    fixture_run_ms(fixture, 5);
     assert_int_equal(first->runs + second->runs, 1);
     suspended_s += SUSPENDED_S;
-    world_run_ms(world, 300);
+    fixture_run_ms(fixture, 300);
     assert_int_equal(first->runs + second->runs, 1);
 }
 
-static void suspend(void *ctx, lab_searcher_t *searcher, const char *request_id, GString *body)
+static void suspend_and_compose(void *ctx, lab_searcher_t *searcher, const char *request_id,
+                                GString *body)
 {
     suspended_s += SUSPENDED_S;
     g_string_append(body, "0123456789abcdef");
 }
 
 /*
- * Requests that wait for room are not begun though the answer that makes room is the first thing
- * that comes after waking: their callers are told that nothing of them ran.
+ * Requests that wait for a free slot are refused with 503 after resume, even if the first event
+ * then is a response that frees a slot: they must not be sent after their deadline.
  */
-static void test_waiting_requests_are_not_begun(void **state)
+static void test_waiting_requests_are_refused(void **state)
 {
-    static const lab_searcher_ops_t ops = {.compose = suspend};
-    world_t *world = world_open(NULL);
-    lab_searcher_t *searcher = world_add_searcher(world, "i-1", "a", "z1");
+    static const lab_searcher_ops_t ops = {.compose = suspend_and_compose};
+    fixture_t *fixture = fixture_open(NULL);
+    lab_searcher_t *searcher = fixture_add_searcher(fixture, "i-1", "a", "z1");
     searcher->delay_ms = 30;
     searcher->ops = &ops;
-    world_configure(world, 1, ROUTE_A);
-    visit_t *visits[CALLERS];
-    for (unsigned i = 0; i < CALLERS; i++)
-        visits[i] = visit_open(world, world->callers_port);
-    for (unsigned i = 0; i < CALLERS; i++)
-        send_request(visits[i], 1400);
-    world_run_ms(world, 10);
+    fixture_put_config(fixture, 1, ROUTE_A);
+    client_t *clients[CLIENTS];
+    for (unsigned i = 0; i < CLIENTS; i++)
+        clients[i] = client_connect(fixture, fixture->callers_port);
+    for (unsigned i = 0; i < CLIENTS; i++)
+        send_request(clients[i], 1400);
+    fixture_run_ms(fixture, 10);
     unsigned runs = searcher->runs;
-    assert_int_equal(world->gateway.requests, CALLERS);
-    assert_true(runs > 0 && runs < CALLERS); // the others wait for room
-    world_run_ms(world, 200);
+    assert_int_equal(fixture->gateway.requests, CLIENTS);
+    assert_true(runs > 0 && runs < CLIENTS); // the others wait for a free slot
+    fixture_run_ms(fixture, 200);
     unsigned refused = 0;
-    for (unsigned i = 0; i < CALLERS; i++) {
-        assert_true(visits[i]->answer.is_complete);
-        refused += visits[i]->answer.parser.status_code == 503;
+    for (unsigned i = 0; i < CLIENTS; i++) {
+        assert_true(clients[i]->response.is_complete);
+        refused += clients[i]->response.parser.status_code == 503;
     }
-    assert_int_equal(refused, CALLERS - runs);
+    assert_int_equal(refused, CLIENTS - runs);
     assert_int_equal(searcher->runs, runs);
 }
 
-/* Requests that come after are served as ever. */
-static void test_work_goes_on(void **state)
+/* Requests that arrive after resume are served normally. */
+static void test_later_requests_are_served(void **state)
 {
-    world_t *world = world_open(NULL);
+    fixture_t *fixture = fixture_open(NULL);
     unsigned status = 0;
-    world_add_searcher(world, "i-1", "a", "z1");
-    world_configure(world, 1, ROUTE_A);
-    visit_get(world, "/p/x", "r1", 1400, &status);
+    fixture_add_searcher(fixture, "i-1", "a", "z1");
+    fixture_put_config(fixture, 1, ROUTE_A);
+    client_get(fixture, "/p/x", "r1", 1400, &status);
     assert_int_equal(status, 200);
     suspended_s += SUSPENDED_S;
-    visit_get(world, "/p/x", "r2", 1400, &status);
+    client_get(fixture, "/p/x", "r2", 1400, &status);
     assert_int_equal(status, 200);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_clock_counts_suspension),
-        cmocka_unit_test(test_request_under_way_ends),
-        cmocka_unit_test(test_no_second_send_after_waking),
-        cmocka_unit_test(test_waiting_requests_are_not_begun),
-        cmocka_unit_test(test_work_goes_on),
+        cmocka_unit_test(test_clock_includes_suspension),
+        cmocka_unit_test(test_request_in_flight_times_out),
+        cmocka_unit_test(test_no_hedge_after_resume),
+        cmocka_unit_test(test_waiting_requests_are_refused),
+        cmocka_unit_test(test_later_requests_are_served),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/lab/test_ports.c
+++ b/tests/lab/test_ports.c
@@ -20,7 +20,7 @@
 {
     char end = 0;
     for (unsigned i = 0; i < PORTS_EACH; i++) {
-        unsigned port = world_next_port();
+        unsigned port = fixture_next_port();
         if (write(told, &port, sizeof(port)) != sizeof(port))
             _exit(EXIT_FAILURE);
     }
@@ -59,7 +59,7 @@
 {
     unsigned last = 0;
     for (unsigned i = 0; i < 1000; i++) {
-        unsigned port = world_next_port();
+        unsigned port = fixture_next_port();
         assert_int_not_equal(port, last);
         last = port;
     }
--- a/tests/scripted/run_script.c
+++ b/tests/scripted/run_script.c
@@ -40,10 +40,10 @@
 #define KNOWN_MS 1200
 
 typedef struct script {
-    world_t *world;
+    fixture_t *world;
     char *settings;
     GHashTable *searchers; // id -> lab_searcher_t
-    GHashTable *visits;    // tag -> visit_t
+    GHashTable *visits;    // tag -> client_t
     unsigned deadline_ms;  // of requests
     GString *out;
 } script_t;
@@ -78,12 +78,12 @@
 
 static void open_world(script_t *s, char **words, guint n)
 {
-    s->world = world_open(s->settings);
+    s->world = fixture_open(s->settings);
 }
 
 static void add_searcher(script_t *s, char **words, guint n)
 {
-    lab_searcher_t *searcher = world_add_searcher(s->world, words[1], words[2], words[3]);
+    lab_searcher_t *searcher = fixture_add_searcher(s->world, words[1], words[2], words[3]);
     g_hash_table_insert(s->searchers, g_strdup(words[1]), searcher);
 }
 
@@ -92,13 +92,13 @@
     lab_searcher_t *searcher = lab_searcher_open(&s->world->loop, words[1], words[2], words[3]);
     g_hash_table_insert(s->searchers, g_strdup(words[1]), searcher);
     uv_close((uv_handle_t *)&searcher->socket, NULL);
-    world_enter_existing(s->world, searcher);
+    fixture_add_existing_searcher(s->world, searcher);
 }
 
 static void drain(script_t *s, char **words, guint n)
 {
-    world_set_draining(s->world, find_searcher(s, words[1]));
-    world_run_ms(s->world, KNOWN_MS);
+    fixture_set_draining(s->world, find_searcher(s, words[1]));
+    fixture_run_ms(s->world, KNOWN_MS);
 }
 
 static void set_behaviour(script_t *s, char **words, guint n)
@@ -183,7 +183,7 @@
         g_string_append_printf(routes, "%s%s", i > 2 ? "," : "", route);
         g_free(route);
     }
-    world_configure(s->world, (unsigned)atoi(words[1]), routes->str);
+    fixture_put_config(s->world, (unsigned)atoi(words[1]), routes->str);
     g_string_free(routes, TRUE);
 }
 
@@ -192,7 +192,7 @@
     char *key = g_strdup_printf("%s%s", KEY_EVACUATIONS, words[1]);
     lab_store_put(s->world->store, key, "{}");
     g_free(key);
-    world_run_ms(s->world, KNOWN_MS);
+    fixture_run_ms(s->world, KNOWN_MS);
 }
 
 static void end_evacuation(script_t *s, char **words, guint n)
@@ -200,43 +200,43 @@
     char *key = g_strdup_printf("%s%s", KEY_EVACUATIONS, words[1]);
     lab_store_delete(s->world->store, key);
     g_free(key);
-    world_run_ms(s->world, KNOWN_MS);
+    fixture_run_ms(s->world, KNOWN_MS);
 }
 
-static visit_t *begin_visit(script_t *s, const char *name, const char *id)
+static client_t *begin_visit(script_t *s, const char *name, const char *id)
 {
-    visit_t *visit = visit_open(s->world, s->world->callers_port);
+    client_t *visit = client_connect(s->world, s->world->callers_port);
     char *text = g_strdup_printf("GET /%s/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: %s\r\n"
                                  "X-Deadline-Ms: %u\r\n\r\n",
                                  name, id, s->deadline_ms);
-    visit_send(visit, text);
+    client_send(visit, text);
     g_free(text);
     return visit;
 }
 
-static void print_missing(script_t *s, const visit_t *visit)
+static void print_missing(script_t *s, const client_t *visit)
 {
-    const char *value = ts_http_message_find(&visit->answer, NAME_MISSING_PARTS);
+    const char *value = ts_http_message_find(&visit->response, NAME_MISSING_PARTS);
     if (value != NULL)
         g_string_append_printf(s->out, " missing %s", value);
 }
 
 // In whole seconds, as the time to come back is spread.
-static void print_retry_after(script_t *s, const visit_t *visit)
+static void print_retry_after(script_t *s, const client_t *visit)
 {
-    const char *value = ts_http_message_find(&visit->answer, NAME_RETRY_AFTER);
+    const char *value = ts_http_message_find(&visit->response, NAME_RETRY_AFTER);
     if (value != NULL)
         g_string_append_printf(s->out, " retry after %d s and more", atoi(value));
 }
 
-static void end_visit(script_t *s, visit_t *visit)
+static void end_visit(script_t *s, client_t *visit)
 {
-    unsigned status = visit_await(s->world, visit);
+    unsigned status = client_await_response(s->world, visit);
     g_string_append_printf(s->out, "status %u", status);
     print_missing(s, visit);
     print_retry_after(s, visit);
     g_string_append_c(s->out, '\n');
-    visit_close(visit);
+    client_close(visit);
 }
 
 static void get(script_t *s, char **words, guint n)
@@ -295,7 +295,7 @@
 
 static void pass_time(script_t *s, char **words, guint n)
 {
-    world_run_ms(s->world, (unsigned)atoi(words[1]));
+    fixture_run_ms(s->world, (unsigned)atoi(words[1]));
 }
 
 static const struct {
