--- a/src/edge/gateway.c
+++ b/src/edge/gateway.c
@@ -216,17 +216,18 @@
     const ts_gateway_t *gateway = ctx;
     uint64_t changes = gateway->peers == NULL ? 0 : ts_peers_view_version(gateway->peers);
     uint64_t basis = (changes << BASIS_NODES_BITS) + gateway->nodes;
-    bool is_recent = now_us - instance->kept_at_us < SHARE_VALID_US;
-    if (instance->kept_at_us != 0 && (instance->kept_basis == basis || is_recent))
-        return instance->kept_max;
+    bool is_recent = now_us - instance->idle_connections_max_at_us < SHARE_VALID_US;
+    if (instance->idle_connections_max_at_us != 0 &&
+        (instance->idle_connections_basis == basis || is_recent))
+        return instance->idle_connections_max;
     uint32_t connections_max = instance->service->connections_max;
     unsigned index = gateway->peers == NULL ? 0 : ts_peers_index(gateway->peers, instance);
-    instance->kept_max = connections_max == 0
-                             ? IDLE_CONNECTIONS_DEFAULT
+    instance->idle_connections_max =
+        connections_max == 0 ? IDLE_CONNECTIONS_DEFAULT
                              : ts_connection_share(connections_max, gateway->nodes, index);
-    instance->kept_at_us = now_us;
-    instance->kept_basis = basis;
-    return instance->kept_max;
+    instance->idle_connections_max_at_us = now_us;
+    instance->idle_connections_basis = basis;
+    return instance->idle_connections_max;
 }
 
 /*
--- a/src/edge/request.c
+++ b/src/edge/request.c
@@ -84,7 +84,7 @@
 {
     const ts_traffic_route_t *route = request->route;
     uint64_t caller_timeout_ms = given_ms == 0 ? CALLER_TIMEOUT_MAX_MS : given_ms;
-    request->is_retry = detect_retry(&request->state->patience, given_ms);
+    request->is_retry = detect_retry(&request->state->caller_timeouts, given_ms);
     ts_time_us_t timeout_us = MIN(caller_timeout_ms, route->timeout_ms) * TS_US_PER_MS;
     ts_time_us_t margin_us =
         timeout_us > 4 * DEADLINE_MARGIN_US ? DEADLINE_MARGIN_US : timeout_us / 4;
--- a/src/edge/request_part.c
+++ b/src/edge/request_part.c
@@ -43,7 +43,7 @@
     ts_gateway_t *gateway = part->request->gateway;
     if (part->service->warmup_rate > 0)
         ts_gateway_update_cold_shares(gateway, part->service, now_us);
-    return (ts_replica_input_t){part->request->state->typical.value_us,
+    return (ts_replica_input_t){part->request->state->median.value_us,
                                 now_us,
                                 gateway->settings->drain_ms * TS_US_PER_MS / 2,
                                 connections_max(part),
@@ -105,7 +105,7 @@
 {
     ts_request_t *request = part->request;
     double typical_us = request->state->median.value_us;
-    double travel_us = ts_rtt_estimate_us(instance->travel);
+    double travel_us = ts_rtt_estimate_us(instance->rtt);
     part->tried[part->sends] = instance;
     ts_instance_note_sent(instance, now_us);
     instance->references++;
@@ -166,8 +166,8 @@
 
 static bool is_scarce(const ts_request_part_t *part, ts_time_us_t now_us)
 {
-    return ts_mechanism_is_on(TS_MECHANISM_SCARCE) && part->service->wanted_us != 0 &&
-           now_us - part->service->wanted_us < SCARCE_WINDOW_US;
+    return ts_mechanism_is_on(TS_MECHANISM_SCARCE) && part->service->blocked_us != 0 &&
+           now_us - part->service->blocked_us < SCARCE_WINDOW_US;
 }
 
 /* Whether the request can succeed with its other parts that are answered or in flight. */
--- a/src/peers/peers_loans.c
+++ b/src/peers/peers_loans.c
@@ -31,7 +31,7 @@
         return;
     }
     uint32_t granted =
-        ts_retry_budget_lend(&service->budget, &gateway->rule, LOAN_GRANT_MAX, now_us);
+        ts_retry_budget_lend(&service->budget, &gateway->retry_rule, LOAN_GRANT_MAX, now_us);
     if (granted > 0) {
         ts_count(TS_COUNTER_EXTRAS_LENT, granted);
         send_loan(peers, address, loan->service, granted);
--- a/src/peers/peers_store.c
+++ b/src/peers/peers_store.c
@@ -193,8 +193,8 @@
 {
     ts_store_position_t before = ts_store_mirror_position(peers->mirror);
     ts_store_list_t list = {.position = {changes->epoch, changes->revision},
-                            .base = changes->epoch_base,
-                            .as_of_us = confirmation_time(changes->age_ms),
+                            .base_revision = changes->epoch_base,
+                            .confirmed_us = confirmation_time(changes->age_ms),
                             .source = "peer"};
     if (!changes->is_whole && !ts_store_mirror_is_loaded(peers->mirror)) {
         return;
--- a/src/registry/instance_health.c
+++ b/src/registry/instance_health.c
@@ -73,7 +73,7 @@
                                ts_time_us_t now_us)
 {
     bool is_stale =
-        !instance->outbox.has_sign && now_us - instance->outbox_since_us > OUTBOX_RETENTION_US;
+        !instance->outbox.has_anomaly && now_us - instance->outbox_since_us > OUTBOX_RETENTION_US;
     if (is_stale || ts_evidence_count_is_empty(&instance->outbox)) {
         instance->outbox = (ts_evidence_count_t){0};
         instance->outbox_since_us = now_us;
@@ -89,7 +89,7 @@
 {
     ts_evidence_add(&instance->own_evidence, count, now_us);
     instance->own_evidence_us = now_us;
-    if (count->has_sign)
+    if (count->has_anomaly)
         instance->own_anomaly_us = now_us;
     if (ts_mechanism_is_on(TS_MECHANISM_MERGED))
         ts_instance_add_to_outbox(instance, count, now_us);
@@ -229,7 +229,7 @@
  */
 static bool is_refusing_with_capacity(const ts_instance_t *instance, ts_time_us_t now_us)
 {
-    if (instance->reported_load.told_us != 0)
+    if (instance->reported_load.reported_us != 0)
         return ts_reported_load_is_idle(&instance->reported_load);
     return instance->normal_answer_us != 0 &&
            now_us - instance->normal_answer_us < NORMAL_ANSWER_VALID_US;
--- a/src/route/replica.c
+++ b/src/route/replica.c
@@ -68,7 +68,7 @@
 
 static bool is_probe_due(const ts_instance_t *instance, ts_time_us_t now_us)
 {
-    return now_us - instance->tried_us > PROBE_INTERVAL_US;
+    return now_us - instance->suspect_sent_us > PROBE_INTERVAL_US;
 }
 
 double ts_replica_cost(const ts_instance_t *instance, const ts_replica_input_t *input)
--- a/src/upstream/upstream.c
+++ b/src/upstream/upstream.c
@@ -117,7 +117,7 @@
         return;
     ts_error_t error = dialect->read_load(text, &load);
     load.reported_us = error == TS_OK ? now_us : 0;
-    exchange->instance->told = load;
+    exchange->instance->reported_load = load;
     if (error != TS_OK)
         ts_count_error(error);
 }
