--- a/include/tealspar/document_loader.h
+++ b/include/tealspar/document_loader.h
@@ -21,8 +21,8 @@
 
 typedef void (*ts_document_loaded_t)(void *context, const ts_loaded_document_t *document);
 
-ts_document_loader_t *ts_document_loader_create(ts_runtime_t *runtime, ts_document_loaded_t loaded,
-                                                void *context);
+ts_document_loader_t *ts_document_loader_create(ts_runtime_t *runtime,
+                                                ts_document_loaded_t on_loaded, void *context);
 /** Call only after the runtime has stopped. */
 void ts_document_loader_destroy(ts_document_loader_t *loader);
 /** Queues a copy of the text, unless the same text is already queued or being loaded. */
--- a/include/tealspar/membership.h
+++ b/include/tealspar/membership.h
@@ -68,8 +68,8 @@
                            const char *from_address, const uint8_t *bytes, size_t length,
                            ts_time_us_t now_us);
 /**
- * Handles the end of a connection: probes the node immediately and shortens its suspicion timeout;
- * a leaving node becomes dead.
+ * Handles the end of a connection to a node: a leaving one becomes dead; any other active one is
+ * suspected with a shortened timeout (unless suspicion is paused) and probed immediately.
  */
 void ts_membership_handle_peer_lost(ts_membership_t *membership, const char *name,
                                     ts_time_us_t now_us);
@@ -78,23 +78,26 @@
  * ts_membership_end_machines are delisted.
  */
 void ts_membership_begin_machines(ts_membership_t *membership);
-/** Adds one machine of the platform's list as a seed; its state is determined by gossip. */
+/**
+ * Adds one machine of the platform's list, as a seed. Gossip determines its state, and its address
+ * once the member was heard of.
+ */
 void ts_membership_add_machine(ts_membership_t *membership, const char *name, const char *address,
                                const char *zone);
 void ts_membership_end_machines(ts_membership_t *membership);
-/** Sets this node's active configuration, announced in every gossip message and pushed now. */
+/** Sets this node's active configuration, which is pushed at the next tick and in every message. */
 void ts_membership_set_config(ts_membership_t *membership, uint64_t version, uint64_t digest);
 /** Announces that this node is leaving; begins a barrier if `uses_barriers` is set. */
 void ts_membership_leave(ts_membership_t *membership, ts_time_us_t now_us);
 /**
- * Begins a barrier. It is passed once every member has acknowledged that it knows this node is
- * leaving and has handled all earlier messages from it, or after one second.
+ * Begins a barrier. It is passed once every other active member has acknowledged that it knows this
+ * node is leaving and has handled all earlier messages from it, or after one second.
  */
 void ts_membership_begin_barrier(ts_membership_t *membership, ts_time_us_t now_us);
 bool ts_membership_is_barrier_passed(const ts_membership_t *membership, ts_time_us_t now_us);
-/** Whether another member has sent its member list, or no other member is known. */
+/** Whether another member has sent its member list, or the machine list names no other machine. */
 bool ts_membership_has_joined(const ts_membership_t *membership);
-/** Creates a view of the present members; the caller owns one reference. */
+/** Creates a view of the active members (all but dead ones); the caller owns one reference. */
 ts_view_t *ts_membership_view(const ts_membership_t *membership);
 /** Number of members in a state, including this node. */
 size_t ts_membership_count(const ts_membership_t *membership, ts_member_state_t state);
--- a/include/tealspar/store_client.h
+++ b/include/tealspar/store_client.h
@@ -27,7 +27,7 @@
 
 ts_store_client_t *ts_store_client_create(uv_loop_t *loop, const ts_dialect_t *dialect,
                                           const char *address, ts_store_done_t done, void *context);
-/** Changes the address of the service; a pending call fails with TS_E_CANCELLED. */
+/** Changes the address of the service; if it differs, a pending call fails with TS_E_CANCELLED. */
 void ts_store_client_set_address(ts_store_client_t *client, const char *address);
 /** Cancels the pending call, if any, without calling `done`. */
 void ts_store_client_cancel(ts_store_client_t *client);
--- a/include/tealspar/store_mirror.h
+++ b/include/tealspar/store_mirror.h
@@ -54,7 +54,7 @@
 uint64_t ts_store_mirror_base_revision(const ts_store_mirror_t *mirror);
 /** When the position was last confirmed as the latest; 0: never. */
 ts_time_us_t ts_store_mirror_confirmed_us(const ts_store_mirror_t *mirror);
-/** Number of entries kept from an earlier epoch. */
+/** Number of entries of earlier epochs that are still effective. */
 unsigned ts_store_mirror_count_earlier_epoch(const ts_store_mirror_t *mirror);
 /**
  * Returns the entries (const ts_store_entry_t, owned by the mirror) changed after a position,
@@ -63,7 +63,7 @@
  */
 GPtrArray *ts_store_mirror_changes(const ts_store_mirror_t *mirror, ts_store_position_t after,
                                    bool *is_whole);
-/** Removes deleted entries whose retention time has passed. */
+/** Removes tombstones after their retention time, unless an entry is deferred because of them. */
 void ts_store_mirror_sweep(ts_store_mirror_t *mirror, ts_time_us_t now_us);
 
 #endif
--- a/src/control/configuration.c
+++ b/src/control/configuration.c
@@ -115,7 +115,7 @@
     ts_log(TS_EVENT_CONFIG_REFUSED, "%s", configuration->refused_reason);
 }
 
-static bool is_known(const configuration_t *configuration, uint64_t digest)
+static bool is_document_known(const configuration_t *configuration, uint64_t digest)
 {
     bool is_active =
         configuration->declarations != NULL && configuration->declarations->digest == digest;
@@ -145,7 +145,7 @@
 }
 
 /* Keeps the newest of the documents that cannot be accepted yet. */
-static void keep_pending(configuration_t *configuration, ts_declarations_t *declarations)
+static void set_pending(configuration_t *configuration, ts_declarations_t *declarations)
 {
     ts_declarations_t *pending = configuration->pending;
     if (pending != NULL && pending->version > declarations->version) {
@@ -156,7 +156,7 @@
     configuration->pending = declarations;
 }
 
-static void accept_or_keep(configuration_t *configuration, ts_declarations_t *declarations)
+static void accept_or_defer(configuration_t *configuration, ts_declarations_t *declarations)
 {
     ts_error_t error = compare_with_active(configuration, declarations);
     if (error != TS_OK) {
@@ -165,13 +165,13 @@
     } else if (can_accept(configuration, declarations)) {
         activate(configuration, declarations);
     } else {
-        keep_pending(configuration, declarations);
+        set_pending(configuration, declarations);
     }
 }
 
 static void submit_text(const configuration_t *configuration, const ts_document_message_t *message)
 {
-    if (!is_known(configuration, ts_hash_bytes(message->text, message->length))) {
+    if (!is_document_known(configuration, ts_hash_bytes(message->text, message->length))) {
         ts_document_loader_submit(configuration->loader, message->text, message->length,
                                   message->version);
     }
@@ -183,7 +183,7 @@
     if (document->declarations == NULL) {
         record_refusal(configuration, document->digest, document->version, document->problems);
     } else {
-        accept_or_keep(configuration, document->declarations);
+        accept_or_defer(configuration, document->declarations);
     }
 }
 
@@ -221,7 +221,7 @@
         return;
     }
     configuration->pending = NULL;
-    accept_or_keep(configuration, pending);
+    accept_or_defer(configuration, pending);
 }
 
 /* Handles a peer's announcement of its version; requests the document if it is newer. */
--- a/src/control/document_loader.c
+++ b/src/control/document_loader.c
@@ -3,7 +3,10 @@
 
 #include "tealspar/hash.h"
 
-/* Maximum number of queued documents; then the oldest is dropped, as the later ones are newer. */
+/*
+ * Maximum number of queued documents. When full, the one submitted first is dropped, as later
+ * submissions usually supersede it.
+ */
 #define QUEUE_MAX 4U
 
 typedef struct load_job {
@@ -18,9 +21,9 @@
 
 struct ts_document_loader {
     ts_runtime_t *runtime;
-    ts_document_loaded_t loaded;
+    ts_document_loaded_t on_loaded;
     void *context;
-    load_job_t *current; /* NULL: idle */
+    load_job_t *current; /* being loaded on a worker thread; NULL: none */
     GQueue *queue;       /* of load_job_t */
 };
 
@@ -33,12 +36,12 @@
     g_free(job);
 }
 
-ts_document_loader_t *ts_document_loader_create(ts_runtime_t *runtime, ts_document_loaded_t loaded,
-                                                void *context)
+ts_document_loader_t *ts_document_loader_create(ts_runtime_t *runtime,
+                                                ts_document_loaded_t on_loaded, void *context)
 {
     ts_document_loader_t *loader = g_new0(ts_document_loader_t, 1);
     loader->runtime = runtime;
-    loader->loaded = loaded;
+    loader->on_loaded = on_loaded;
     loader->context = context;
     loader->queue = g_queue_new();
     return loader;
@@ -64,9 +67,9 @@
     load_job_t *job = context;
     ts_document_loader_t *loader = job->loader;
     ts_loaded_document_t document = {job->digest, job->version, job->declarations, &job->problems};
-    job->declarations = NULL; /* ownership moves to the callee */
+    job->declarations = NULL; /* the callback takes ownership */
     loader->current = NULL;
-    loader->loaded(loader->context, &document);
+    loader->on_loaded(loader->context, &document);
     free_job(job);
     start_next(loader);
 }
@@ -80,7 +83,7 @@
     ts_runtime_work(loader->runtime, load, finish, free_job, loader->current);
 }
 
-static bool is_queued(const ts_document_loader_t *loader, uint64_t digest)
+static bool is_pending(const ts_document_loader_t *loader, uint64_t digest)
 {
     if (loader->current != NULL && loader->current->digest == digest) {
         return true;
@@ -97,7 +100,7 @@
                                uint64_t version)
 {
     uint64_t digest = ts_hash_bytes(text, length);
-    if (is_queued(loader, digest)) {
+    if (is_pending(loader, digest)) {
         return;
     }
     if (loader->queue->length >= QUEUE_MAX) {
--- a/src/control/membership.c
+++ b/src/control/membership.c
@@ -30,10 +30,10 @@
 
 uint64_t ts_member_next_random(ts_membership_t *m)
 {
-    m->random ^= m->random >> 12;
-    m->random ^= m->random << 25;
-    m->random ^= m->random >> 27;
-    return m->random * 2685821657736338717ULL;
+    m->random_state ^= m->random_state >> 12;
+    m->random_state ^= m->random_state << 25;
+    m->random_state ^= m->random_state >> 27;
+    return m->random_state * 2685821657736338717ULL;
 }
 
 static void free_member(gpointer pointer)
@@ -73,7 +73,7 @@
 static void queue_rumour(ts_membership_t *m, member_t *member)
 {
     member->rumour_sends_left = ts_member_rumour_limit(m);
-    m->is_push_due = true;
+    m->is_rumour_push_due = true;
 }
 
 void ts_member_set_state(ts_membership_t *m, member_t *member, ts_member_state_t state,
@@ -86,8 +86,8 @@
     member->state = state;
     member->state_since_us = m->now_us;
     member->suspicion_timeout_us = suspicion_timeout(m);
-    member->has_final_probe = false;
-    m->is_digest_known = false;
+    member->is_final_probe_done = false;
+    m->is_digest_valid = false;
     queue_rumour(m, member);
     bool has_died = state == TS_MEMBER_DEAD && (old == TS_MEMBER_LIVE || old == TS_MEMBER_SUSPECT);
     ts_count(TS_COUNTER_MEMBER_DEATHS, has_died);
@@ -136,8 +136,8 @@
     }
     m->next_join_us = m->now_us + JOIN_RETRY_US;
     unsigned requests_sent = 0;
-    bool is_own_zone_first = m->rounds % 2 == 0;
-    guint begin = m->rounds / 2;
+    bool is_own_zone_first = m->attempts % 2 == 0;
+    guint begin = m->attempts / 2;
     for (int pass = 0; pass < 2; pass++) {
         bool wants_own_zone = (pass == 0) == is_own_zone_first;
         for (guint i = 0; i < m->order->len && requests_sent < JOIN_FANOUT; i++) {
@@ -149,7 +149,7 @@
             }
         }
     }
-    m->rounds++;
+    m->attempts++;
     if (m->has_machine_list && m->order->len == 1) {
         m->has_joined = true; /* no other member is known */
         m->is_view_changed = true;
@@ -195,10 +195,10 @@
 
 static void push_rumours(ts_membership_t *m)
 {
-    if (!m->is_push_due) {
+    if (!m->is_rumour_push_due) {
         return;
     }
-    m->is_push_due = false;
+    m->is_rumour_push_due = false;
     for (unsigned i = 0; i < PUSH_FANOUT; i++) {
         const member_t *member = choose_push_target(m, i == 0);
         if (member != NULL) {
@@ -272,7 +272,7 @@
 {
     m->config_version = version;
     m->config_digest = digest;
-    m->is_push_due = true;
+    m->is_rumour_push_due = true;
 }
 
 void ts_membership_leave(ts_membership_t *m, ts_time_us_t now_us)
@@ -358,13 +358,13 @@
     m->members = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_member);
     m->order = g_ptr_array_new();
     m->relays = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, free_relay);
-    m->random = config->seed | 1U;
+    m->random_state = config->seed | 1U;
     m->retries_probe = config->retries_probe;
     m->uses_barriers = config->uses_barriers;
     m->now_us = now_us;
     m->sync_interval_us = SYNC_INTERVAL_MIN_US;
     /* A random start, so that nodes send their first join requests to different seeds. */
-    m->rounds = (unsigned)ts_member_next_random(m);
+    m->attempts = (unsigned)ts_member_next_random(m);
     m->next_probe_us = now_us + ts_member_next_random(m) % TS_MEMBERSHIP_PERIOD_US;
     m->next_dead_retry_us = now_us + ts_member_next_random(m) % DEAD_RETRY_US;
     m->self = ts_member_add_member(m, config->name, config->address, config->zone);
--- a/src/control/membership_barrier.c
+++ b/src/control/membership_barrier.c
@@ -17,7 +17,7 @@
                           NULL);
 }
 
-static void probe_unacked(ts_membership_t *m)
+static void probe_unacked_members(ts_membership_t *m)
 {
     m->next_barrier_us = m->now_us + BARRIER_RETRY_INTERVAL_US;
     for (guint i = 0; i < m->order->len; i++) {
@@ -35,13 +35,13 @@
         member->barrier_sequence = is_asked ? ++m->sequence : 0;
     }
     m->barrier_until_us = m->now_us + BARRIER_TIMEOUT_US;
-    probe_unacked(m);
+    probe_unacked_members(m);
 }
 
 void ts_member_check_barrier(ts_membership_t *m)
 {
     if (m->barrier_until_us > m->now_us && m->now_us >= m->next_barrier_us)
-        probe_unacked(m);
+        probe_unacked_members(m);
 }
 
 bool ts_member_handle_barrier_ack(ts_membership_t *m, uint64_t sequence)
--- a/src/control/membership_probe.c
+++ b/src/control/membership_probe.c
@@ -36,22 +36,25 @@
     return strcmp(member->zone, m->self->zone) == 0;
 }
 
-member_t *ts_member_choose_random(ts_membership_t *m, const member_t *other)
+member_t *ts_member_choose_random(ts_membership_t *m, const member_t *excluded)
 {
     guint begin = (guint)(ts_member_next_random(m) % m->order->len);
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, (begin + i) % m->order->len);
-        if (member != m->self && member != other && ts_member_is_active(member)) {
+        if (member != m->self && member != excluded && ts_member_is_active(member)) {
             return member;
         }
     }
     return NULL;
 }
 
-/* Picks the next member in order: every fourth time one of another zone, otherwise of this zone. */
+/*
+ * Picks the next active member in order: every fourth time one of another zone, otherwise one of
+ * this zone. If there is none of the wanted kind, picks any other active member.
+ */
 static member_t *choose_probe_target(ts_membership_t *m)
 {
-    bool wants_other_zone = m->rounds++ % CROSS_ZONE_PROBE_EVERY == CROSS_ZONE_PROBE_EVERY - 1;
+    bool wants_other_zone = m->attempts++ % CROSS_ZONE_PROBE_EVERY == CROSS_ZONE_PROBE_EVERY - 1;
     member_t *fallback = NULL;
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, m->order_next++ % m->order->len);
@@ -177,12 +180,12 @@
  */
 static void send_final_probe(ts_membership_t *m, member_t *member)
 {
-    bool is_due = member->state == TS_MEMBER_SUSPECT && !member->has_final_probe &&
+    bool is_due = member->state == TS_MEMBER_SUSPECT && !member->is_final_probe_done &&
                   m->now_us - member->state_since_us >= member->suspicion_timeout_us / 2;
     if (!is_due) {
         return;
     }
-    member->has_final_probe = true;
+    member->is_final_probe_done = true;
     if (ts_member_next_random(m) % m->order->len < FINAL_PROBE_NODES) {
         member->rumour_sends_left = TS_MEMBER_RUMOUR_URGENT;
         ts_member_send_gossip(m, member->name, member->address, GOSSIP_PING, ++m->sequence, NULL);
--- a/src/control/membership_receive.c
+++ b/src/control/membership_receive.c
@@ -7,7 +7,7 @@
 
 /* State changes younger than this are sent again to a peer whose view differs. */
 #define RECENT_CHANGE_US (15ULL * TS_US_PER_S)
-#define REPAIR_INTERVAL_US (300ULL * TS_US_PER_MS)
+#define RESEND_INTERVAL_US (300ULL * TS_US_PER_MS)
 /* Of the full exchanges due with nodes of other zones, one in this many is made, at random. */
 #define CROSS_ZONE_SYNC_ONE_IN 8U
 #define SYNC_INTERVAL_MAX_US (64ULL * TS_US_PER_S)
@@ -46,9 +46,9 @@
     ts_member_state_t state = (ts_member_state_t)rumour->state;
     member_t *member = ts_member_find_member(m, rumour->name);
     if (member == m->self) {
-        bool is_mine = strcmp(rumour->address, m->self->address) == 0;
+        bool is_own_address = strcmp(rumour->address, m->self->address) == 0;
         bool is_false = state != m->self->state && rumour->incarnation >= m->self->incarnation;
-        if (is_mine && is_false) {
+        if (is_own_address && is_false) {
             refute(m, rumour->incarnation);
         }
         return;
@@ -144,19 +144,19 @@
 /* Sends recent state changes to a peer whose view differs; it may have missed a rumour. */
 static void send_recent_changes(ts_membership_t *m, const char *name, const char *address)
 {
-    bool has_recent = false;
-    if (m->now_us < m->next_repair_us) {
+    bool has_recent_change = false;
+    if (m->now_us < m->next_resend_us) {
         return;
     }
     for (guint i = 0; i < m->order->len; i++) {
         member_t *member = g_ptr_array_index(m->order, i);
         if (member->incarnation != 0 && m->now_us - member->state_since_us < RECENT_CHANGE_US) {
             member->rumour_sends_left = MAX(member->rumour_sends_left, 1U);
-            has_recent = true;
+            has_recent_change = true;
         }
     }
-    if (has_recent) {
-        m->next_repair_us = m->now_us + REPAIR_INTERVAL_US;
+    if (has_recent_change) {
+        m->next_resend_us = m->now_us + RESEND_INTERVAL_US;
         ts_member_send_gossip(m, name, address, GOSSIP_RUMOURS, 0, NULL);
     }
 }
--- a/src/control/membership_wire.c
+++ b/src/control/membership_wire.c
@@ -51,7 +51,7 @@
 
 uint64_t ts_member_digest_view(ts_membership_t *m)
 {
-    if (m->is_digest_known) {
+    if (m->is_digest_valid) {
         return m->digest;
     }
     uint64_t digest = 0;
@@ -62,7 +62,7 @@
         }
     }
     m->digest = digest;
-    m->is_digest_known = true;
+    m->is_digest_valid = true;
     return digest;
 }
 
--- a/src/control/mesh.c
+++ b/src/control/mesh.c
@@ -45,7 +45,8 @@
     return g_hash_table_lookup(mesh.peers, &id);
 }
 
-static peer_t *update_peer(const char *name, const char *address)
+/* Returns the peer with that name; adds it, or updates its address, if needed. */
+static peer_t *add_or_update_peer(const char *name, const char *address)
 {
     uint64_t id = ts_hash_text(name);
     peer_t *peer = find_peer(id);
@@ -114,13 +115,13 @@
 static void send_gossip(ts_gossip_message_t *message)
 {
     ts_count(TS_COUNTER_CONTROL_BYTES_SENT, (int64_t)message->length);
-    queue_message(update_peer(message->peer_name, message->peer_address), &message->head);
+    queue_message(add_or_update_peer(message->peer_name, message->peer_address), &message->head);
 }
 
 static void send_document(ts_document_message_t *message)
 {
     ts_count(TS_COUNTER_CONTROL_BYTES_SENT, (int64_t)message->length);
-    queue_message(update_peer(message->peer_name, message->peer_address), &message->head);
+    queue_message(add_or_update_peer(message->peer_name, message->peer_address), &message->head);
 }
 
 /* ---- delivering ---- */
@@ -129,15 +130,15 @@
  * Registers the sender of a frame, so that it can be replied to. A node that has just started gets
  * requests from nodes that are not yet in its membership view.
  */
-static void learn_sender(void *context, const ts_wire_identity_t *sender)
+static void register_sender(void *context, const ts_wire_identity_t *sender)
 {
     peer_t *peer = find_peer(ts_hash_text(sender->name));
     if (peer != NULL && sender->incarnation < peer->incarnation)
         return; /* a delayed frame from before the sender's restart */
-    update_peer(sender->name, sender->address)->incarnation = sender->incarnation;
+    add_or_update_peer(sender->name, sender->address)->incarnation = sender->incarnation;
 }
 
-static void deliver(void *context, ts_message_t *message)
+static void deliver_message(void *context, ts_message_t *message)
 {
     switch (message->type) {
     case TS_MESSAGE_SUBREQUESTS:
@@ -160,8 +161,8 @@
 
 static void receive_frame(void *context, const uint8_t *bytes, size_t length)
 {
-    ts_error_t error =
-        ts_wire_frame_receive(&mesh.identity, bytes, length, learn_sender, deliver, NULL);
+    ts_error_t error = ts_wire_frame_receive(&mesh.identity, bytes, length, register_sender,
+                                             deliver_message, NULL);
     if (error != TS_OK) {
         ts_count(TS_COUNTER_MESH_REFUSED, 1);
         ts_count_error(error);
@@ -169,7 +170,8 @@
     }
 }
 
-static void handle_disconnect(void *context, const char *address)
+/* Reports a lost connection to the front and to membership, for each peer with that address. */
+static void report_disconnect(void *context, const char *address)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -183,11 +185,11 @@
     }
 }
 
-static void learn_view_members(const ts_view_t *view)
+static void register_members(const ts_view_t *view)
 {
     for (size_t i = 0; i < view->count; i++) {
         if (!view->members[i].is_self) {
-            update_peer(view->members[i].name, view->members[i].address);
+            add_or_update_peer(view->members[i].name, view->members[i].address);
         }
     }
 }
@@ -211,7 +213,7 @@
         send_document((ts_document_message_t *)message);
         break;
     case TS_MESSAGE_VIEW:
-        learn_view_members(((ts_view_message_t *)message)->view);
+        register_members(((ts_view_message_t *)message)->view);
         break;
     default:
         break;
@@ -234,23 +236,24 @@
 static ts_error_t open_link(ts_node_t *node)
 {
     const ts_settings_t *settings = node->settings;
-    cpu_set_t all;
-    cpu_set_t one;
+    cpu_set_t previous_affinity;
+    cpu_set_t pinned_affinity;
     pthread_t self = pthread_self();
-    bool is_known = pthread_getaffinity_np(self, sizeof(all), &all) == 0;
+    bool has_affinity =
+        pthread_getaffinity_np(self, sizeof(previous_affinity), &previous_affinity) == 0;
     int core = settings->cpu != NULL ? *settings->cpu : -1;
-    if (is_known && core >= 0) {
-        CPU_ZERO(&one);
-        CPU_SET(core, &one);
-        pthread_setaffinity_np(self, sizeof(one), &one);
+    if (has_affinity && core >= 0) {
+        CPU_ZERO(&pinned_affinity);
+        CPU_SET(core, &pinned_affinity);
+        pthread_setaffinity_np(self, sizeof(pinned_affinity), &pinned_affinity);
     }
     mesh.link = ts_peer_link_open(node->loop, settings->peers, receive_frame, &mesh);
-    if (is_known)
-        pthread_setaffinity_np(self, sizeof(all), &all);
+    if (has_affinity)
+        pthread_setaffinity_np(self, sizeof(previous_affinity), &previous_affinity);
     if (mesh.link == NULL)
         return TS_E_LISTEN;
     ts_peer_link_set_buffer(mesh.link, SEND_BUFFER_FRAMES);
-    ts_peer_link_on_lost(mesh.link, handle_disconnect);
+    ts_peer_link_on_lost(mesh.link, report_disconnect);
     return TS_OK;
 }
 
--- a/src/control/platform_reader.c
+++ b/src/control/platform_reader.c
@@ -33,8 +33,8 @@
     uint64_t known_version;
     unsigned polls;
     bool is_reader;
-    bool is_document_pending;
-    bool is_machines_pending;
+    bool is_document_call_pending;
+    bool is_machines_call_pending;
     bool is_lost;
     bool has_machines; /* the machine list was read at least once */
 } reader_t;
@@ -53,7 +53,7 @@
 static void handle_document(void *context, ts_error_t error, const char *text, size_t length)
 {
     reader_t *reader = context;
-    reader->is_document_pending = false;
+    reader->is_document_call_pending = false;
     record_result(reader, error);
     bool has_peers = reader->has_machines || reader->polls > MAX_POLLS_WITHOUT_MACHINES;
     if (error != TS_OK || text == NULL || !has_peers) {
@@ -68,7 +68,7 @@
 static void handle_machines(void *context, ts_error_t error, ts_machines_message_t *machines)
 {
     reader_t *reader = context;
-    reader->is_machines_pending = false;
+    reader->is_machines_call_pending = false;
     record_result(reader, error);
     if (machines != NULL) {
         reader->has_machines = true;
@@ -80,15 +80,15 @@
 {
     reader_t *reader = timer->data;
     unsigned every = reader->is_reader ? MACHINES_EVERY_POLLS : NON_READER_MACHINES_EVERY_POLLS;
-    if (reader->is_reader && !reader->is_document_pending) {
-        reader->is_document_pending = true;
+    if (reader->is_reader && !reader->is_document_call_pending) {
+        reader->is_document_call_pending = true;
         reader->platform->read_document(reader->handle, reader->known_version, handle_document,
                                         reader);
     }
     bool is_due = !reader->has_machines || reader->polls % every == 0;
     reader->polls++;
-    if (is_due && !reader->is_machines_pending) {
-        reader->is_machines_pending = true;
+    if (is_due && !reader->is_machines_call_pending) {
+        reader->is_machines_call_pending = true;
         reader->platform->read_machines(reader->handle, handle_machines, reader);
     }
 }
--- a/src/control/store_client.c
+++ b/src/control/store_client.c
@@ -12,8 +12,7 @@
 #define HEAD_MAX 65536
 #define BODY_MAX (16U * 1024U * 1024U)
 
-/* Allocated separately from the client, because it is freed only once libuv has closed its handle.
- */
+/* Allocated apart from the client, because it is freed only once libuv has closed its handle. */
 typedef struct connection {
     uv_tcp_t socket;
     uv_connect_t connect_req;
@@ -91,6 +90,7 @@
     finish_call(timer->data, TS_E_DEADLINE);
 }
 
+/* Fails the call from a timer, because `done` must not run before ts_store_client_get returns. */
 static void fail_connect(uv_timer_t *timer)
 {
     finish_call(timer->data, TS_E_CONNECT);
--- a/src/control/store_mirror.c
+++ b/src/control/store_mirror.c
@@ -10,10 +10,13 @@
 /* Deleted entries are kept as tombstones this long, for peers that were unreachable meanwhile. */
 #define TOMBSTONE_RETENTION_US (60 * TS_US_PER_S)
 
-/* After a restore of the service, a backend rewrites its entry by its second heartbeat. */
+/*
+ * The instance window: after a restore of the service a backend has written its entry again at its
+ * second heartbeat at the latest.
+ */
 #define REWRITE_HEARTBEATS 2U
 #define REWRITE_MARGIN_MS 600U
-/* Time that operators get to rewrite their entries after a restore. */
+/* The evacuation window: minimum time for operators to write evacuation entries again. */
 #define OPERATOR_REWRITE_MS 5000U
 
 /* Maximum length of an entry's id in the log line about a refused entry. */
@@ -29,14 +32,15 @@
 
 struct ts_store_mirror {
     ts_gateway_t *gateway;
-    GHashTable *entries; /* key -> mirror_entry_t, owned */
+    GHashTable *items; /* key -> mirror_entry_t, owned */
     ts_store_position_t position;
-    ts_store_position_t swept; /* latest position of a removed tombstone */
+    /* Position of the latest removed tombstone; earlier changes can no longer be listed singly. */
+    ts_store_position_t last_swept;
     uint64_t base_revision;
     uint64_t rewrite_window_epoch; /* epoch of the last rewrite window; 0: none */
     uv_timer_t rewrite_timer;
-    bool is_instance_rewrite_window;
-    bool is_evacuation_rewrite_window;
+    bool is_instance_window_open;
+    bool is_evacuation_window_open;
     ts_time_us_t confirmed_us;
     bool is_loaded;
 };
@@ -70,7 +74,7 @@
 {
     ts_store_mirror_t *mirror = g_new0(ts_store_mirror_t, 1);
     mirror->gateway = gateway;
-    mirror->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_item);
+    mirror->items = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_item);
     uv_timer_init(gateway->loop, &mirror->rewrite_timer);
     mirror->rewrite_timer.data = mirror;
     return mirror;
@@ -129,17 +133,20 @@
     copy->value = entry->value == NULL ? NULL : g_memdup2(entry->value, entry->length + 1);
 }
 
-static mirror_entry_t *add_item(ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
+static mirror_entry_t *put_item(ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
                                 ts_time_us_t now_us)
 {
     mirror_entry_t *item = g_new0(mirror_entry_t, 1);
     copy_entry(&item->entry, entry);
     item->updated_us = now_us;
-    g_hash_table_replace(mirror->entries, item->entry.key, item);
+    g_hash_table_replace(mirror->items, item->entry.key, item);
     return item;
 }
 
-/* Makes `entry` the effective one. The key stays, as it is the key of the hash table. */
+/*
+ * Stores the value, position and deletion state of `entry` in `item` without applying it to the
+ * registry. The key stays, as the hash table uses it.
+ */
 static void replace_entry(mirror_entry_t *item, const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
     g_free(item->entry.value);
@@ -168,7 +175,7 @@
 
 /* -- Merging ----------------------------------------------------------------------------------- */
 
-static bool is_earlier_epoch(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
+static bool is_of_earlier_epoch(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
 {
     return entry->changed.epoch < mirror->position.epoch;
 }
@@ -177,8 +184,8 @@
 {
     bool is_evacuation = kind == TS_STORE_EVACUATION;
     return (ts_store_epoch_state_t){mirror->position.epoch, mirror->base_revision,
-                                    is_evacuation ? mirror->is_evacuation_rewrite_window
-                                                  : mirror->is_instance_rewrite_window};
+                                    is_evacuation ? mirror->is_evacuation_window_open
+                                                  : mirror->is_instance_window_open};
 }
 
 static uint32_t instance_rewrite_window_ms(const ts_store_mirror_t *mirror)
@@ -190,21 +197,21 @@
 static void begin_rewrite_window(ts_store_mirror_t *mirror)
 {
     mirror->rewrite_window_epoch = mirror->position.epoch;
-    mirror->is_instance_rewrite_window = true;
-    mirror->is_evacuation_rewrite_window = true;
+    mirror->is_instance_window_open = true;
+    mirror->is_evacuation_window_open = true;
     uv_timer_start(&mirror->rewrite_timer, on_rewrite_timer, instance_rewrite_window_ms(mirror), 0);
 }
 
 /*
- * Whether a configuration replaces the known one: the higher version wins. If the same version was
- * written again, the later position wins.
+ * Whether a configuration (a TS_STORE_TRAFFIC entry) replaces the one in `item`, which may be NULL:
+ * the higher version wins. If the same version was written again, the later position wins.
  */
-static bool is_newer_traffic(const mirror_entry_t *known, const ts_store_entry_t *entry,
+static bool is_newer_traffic(const mirror_entry_t *item, const ts_store_entry_t *entry,
                              uint64_t version)
 {
-    if (known == NULL || version != known->version)
-        return known == NULL || version > known->version;
-    return ts_store_position_compare(entry->changed, known->entry.changed) > 0;
+    if (item == NULL || version != item->version)
+        return item == NULL || version > item->version;
+    return ts_store_position_compare(entry->changed, item->entry.changed) > 0;
 }
 
 static void refuse_traffic(const ts_problems_t *problems, const char *key)
@@ -215,7 +222,7 @@
     g_free(text);
 }
 
-static bool apply_traffic(ts_store_mirror_t *mirror, const mirror_entry_t *known,
+static bool apply_traffic(ts_store_mirror_t *mirror, const mirror_entry_t *item,
                           const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
     ts_problems_t problems;
@@ -227,92 +234,93 @@
         refuse_traffic(&problems, entry->key);
     } else {
         ts_gauge_set(TS_COUNTER_CONFIG_VERSION_LISTED, (int64_t)traffic->version);
-        is_newer = is_newer_traffic(known, entry, traffic->version);
+        is_newer = is_newer_traffic(item, entry, traffic->version);
         if (is_newer)
-            add_item(mirror, entry, now_us)->version = traffic->version;
-        ts_gateway_set_traffic(mirror->gateway, traffic);
+            put_item(mirror, entry, now_us)->version = traffic->version;
+        ts_gateway_set_traffic(mirror->gateway, traffic); // ignores versions that are not newer
     }
     ts_problems_clear(&problems);
     return is_newer;
 }
 
-/* Deleting a configuration has no effect: it stays active until a newer one is written. */
-static bool merge_traffic(ts_store_mirror_t *mirror, mirror_entry_t *known,
+/* Deleting a configuration has no effect: it stays effective until a newer one is written. */
+static bool merge_traffic(ts_store_mirror_t *mirror, mirror_entry_t *item,
                           const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
     if (entry->is_deleted)
         return false;
-    if (known == NULL || !ts_store_entry_equals(&known->entry, entry))
-        return apply_traffic(mirror, known, entry, now_us);
-    if (ts_store_position_compare(entry->changed, known->entry.changed) <= 0)
+    if (item == NULL || !ts_store_entry_equals(&item->entry, entry))
+        return apply_traffic(mirror, item, entry, now_us);
+    if (ts_store_position_compare(entry->changed, item->entry.changed) <= 0)
         return false;
-    ts_gauge_set(TS_COUNTER_CONFIG_VERSION_LISTED, (int64_t)known->version);
-    known->entry.changed = entry->changed;
-    known->updated_us = now_us;
+    ts_gauge_set(TS_COUNTER_CONFIG_VERSION_LISTED, (int64_t)item->version);
+    item->entry.changed = entry->changed;
+    item->updated_us = now_us;
     return true;
 }
 
-static void set_effective(ts_store_mirror_t *mirror, mirror_entry_t *known,
+static void set_effective(ts_store_mirror_t *mirror, mirror_entry_t *item,
                           const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
-    bool is_same = known != NULL && ts_store_entry_equals(&known->entry, entry);
-    if (known == NULL)
-        known = add_item(mirror, entry, now_us);
+    bool is_same = item != NULL && ts_store_entry_equals(&item->entry, entry);
+    if (item == NULL)
+        item = put_item(mirror, entry, now_us);
     else
-        replace_entry(known, entry, now_us);
-    if (!is_earlier_epoch(mirror, entry))
-        clear_deferred(known);
+        replace_entry(item, entry, now_us);
+    if (!is_of_earlier_epoch(mirror, entry))
+        clear_deferred(item);
     if (!is_same)
-        apply_entry(mirror, &known->entry, now_us);
+        apply_entry(mirror, &item->entry, now_us);
 }
 
 /* Makes an entry of an earlier epoch effective and defers the one of the current epoch. */
-static void reinstate_entry(ts_store_mirror_t *mirror, mirror_entry_t *known,
+static void reinstate_entry(ts_store_mirror_t *mirror, mirror_entry_t *item,
                             const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
-    set_deferred(known, &known->entry);
-    replace_entry(known, entry, now_us);
-    apply_entry(mirror, &known->entry, now_us);
+    set_deferred(item, &item->entry);
+    replace_entry(item, entry, now_us);
+    apply_entry(mirror, &item->entry, now_us);
 }
 
-/* Entries of an earlier epoch are only relevant during their rewrite window. */
-static bool is_relevant(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
+/* Entries of an earlier epoch are considered only while the window for their kind is open. */
+static bool is_considered(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
 {
-    return !is_earlier_epoch(mirror, entry) || epoch_state(mirror, entry->kind).is_rewrite_window;
+    return !is_of_earlier_epoch(mirror, entry) || epoch_state(mirror, entry->kind).is_window_open;
 }
 
-/* Whether an entry was changed after the deferred one, if there is one. */
-static bool is_newer_than_deferred(const mirror_entry_t *known, const ts_store_entry_t *entry)
+/* Whether an entry was changed after the deferred one, or nothing is deferred. */
+static bool is_newer_than_deferred(const mirror_entry_t *item, const ts_store_entry_t *entry)
 {
-    return known->deferred == NULL ||
-           ts_store_position_compare(entry->changed, known->deferred->changed) > 0;
+    return item->deferred == NULL ||
+           ts_store_position_compare(entry->changed, item->deferred->changed) > 0;
 }
 
 static bool merge_entry(ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
                         ts_time_us_t now_us)
 {
-    mirror_entry_t *known = g_hash_table_lookup(mirror->entries, entry->key);
+    mirror_entry_t *item = g_hash_table_lookup(mirror->items, entry->key);
     if (entry->kind == TS_STORE_TRAFFIC)
-        return merge_traffic(mirror, known, entry, now_us);
-    if (entry->kind == TS_STORE_OTHER || !is_relevant(mirror, entry))
+        return merge_traffic(mirror, item, entry, now_us);
+    if (entry->kind == TS_STORE_OTHER || !is_considered(mirror, entry))
         return false;
-    if (known == NULL) {
+    if (item == NULL) {
         set_effective(mirror, NULL, entry, now_us);
         return true;
     }
     ts_store_epoch_state_t state = epoch_state(mirror, entry->kind);
-    switch (ts_store_resolve(mirror->gateway->dialect, &state, &known->entry, entry)) {
+    switch (ts_store_resolve(mirror->gateway->dialect, &state, &item->entry, entry)) {
     case TS_STORE_APPLY:
-        if (!is_earlier_epoch(mirror, entry) && !is_newer_than_deferred(known, entry))
+        // An entry that is no newer than the deferred one is outdated, e.g. from a peer that lags.
+        if (!is_of_earlier_epoch(mirror, entry) && !is_newer_than_deferred(item, entry))
             return false;
-        set_effective(mirror, known, entry, now_us);
+        set_effective(mirror, item, entry, now_us);
         return true;
     case TS_STORE_DEFER:
-        if (is_newer_than_deferred(known, entry))
-            set_deferred(known, entry);
+        if (is_newer_than_deferred(item, entry))
+            set_deferred(item, entry);
         return false;
     case TS_STORE_REINSTATE:
-        reinstate_entry(mirror, known, entry, now_us);
+        reinstate_entry(mirror, item, entry, now_us);
         return true;
     case TS_STORE_IGNORE:
         break;
@@ -320,9 +328,15 @@
     return false;
 }
 
-static bool needs_rewrite_window(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
+/*
+ * Whether this node opens its rewrite window because of an entry from a sender in the current
+ * epoch: one of an earlier epoch shows that the sender's window is open, and this node has not
+ * opened one in this epoch yet.
+ */
+static bool should_join_rewrite_window(const ts_store_mirror_t *mirror,
+                                       const ts_store_entry_t *entry)
 {
-    return entry->kind != TS_STORE_TRAFFIC && is_earlier_epoch(mirror, entry) &&
+    return entry->kind != TS_STORE_TRAFFIC && is_of_earlier_epoch(mirror, entry) &&
            mirror->rewrite_window_epoch != mirror->position.epoch;
 }
 
@@ -336,7 +350,7 @@
         const ts_store_entry_t *entry = g_ptr_array_index(entries, i);
         if (entry->changed.epoch > mirror->position.epoch)
             continue;
-        if (is_current_epoch && needs_rewrite_window(mirror, entry))
+        if (is_current_epoch && should_join_rewrite_window(mirror, entry))
             begin_rewrite_window(mirror);
         applied += merge_entry(mirror, entry, now_us);
     }
@@ -375,7 +389,7 @@
 
 static void begin_epoch(ts_store_mirror_t *mirror, const ts_store_list_t *list)
 {
-    if (mirror->is_loaded)
+    if (mirror->is_loaded) // the first list is not a restore
         log_restore(mirror, list);
     mirror->position = (ts_store_position_t){list->position.epoch, 0};
     mirror->base_revision = list->position.revision;
@@ -386,8 +400,8 @@
     }
 }
 
-/* Returns the keys that are present in a list's own epoch. */
-static GHashTable *collect_listed_keys(const ts_store_list_t *list)
+/* Returns the keys of a list's entries that belong to its own epoch and are not deleted. */
+static GHashTable *collect_list_keys(const ts_store_list_t *list)
 {
     GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
     for (guint i = 0; i < list->entries->len; i++) {
@@ -398,13 +412,18 @@
     return keys;
 }
 
-static bool survives_list(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
-                          ts_store_position_t position)
+/*
+ * Whether an entry that a list does not contain stays as it is: a configuration; a tombstone; an
+ * entry of an earlier epoch while the rewrite window for its kind is open; or an entry that was
+ * changed after the list's position.
+ */
+static bool is_kept_if_unlisted(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
+                                ts_store_position_t position)
 {
     if (entry->kind == TS_STORE_TRAFFIC || entry->is_deleted)
         return true;
-    if (is_earlier_epoch(mirror, entry))
-        return epoch_state(mirror, entry->kind).is_rewrite_window;
+    if (is_of_earlier_epoch(mirror, entry))
+        return epoch_state(mirror, entry->kind).is_window_open;
     return entry->changed.revision > position.revision;
 }
 
@@ -414,13 +433,13 @@
     GHashTableIter iterator;
     gpointer value = NULL;
     ts_time_us_t now_us = ts_clock_now_us();
-    g_hash_table_iter_init(&iterator, mirror->entries);
+    g_hash_table_iter_init(&iterator, mirror->items);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         mirror_entry_t *item = value;
         if (g_hash_table_contains(keys, item->entry.key))
             continue;
         clear_deferred(item);
-        if (!survives_list(mirror, &item->entry, position))
+        if (!is_kept_if_unlisted(mirror, &item->entry, position))
             mark_deleted(mirror, item, position, now_us);
     }
 }
@@ -435,7 +454,7 @@
     unsigned applied = ts_store_mirror_apply(mirror, list->entries, list->position);
     if (!is_current_epoch || list->position.revision < mirror->position.revision)
         return applied;
-    GHashTable *keys = collect_listed_keys(list);
+    GHashTable *keys = collect_list_keys(list);
     delete_unlisted(mirror, keys, list->position);
     g_hash_table_unref(keys);
     mirror->is_loaded = true;
@@ -443,28 +462,27 @@
     return applied;
 }
 
-/* -- End of the rewrite window -------------------------------------------------------------------
- */
+/* -- End of the rewrite windows ---------------------------------------------------------------- */
 
-/* Whether an entry is of an earlier epoch and its rewrite window is over. */
+/* Whether an entry is of an earlier epoch and the rewrite window for its kind is closed. */
 static bool is_past_rewrite_window(const ts_store_mirror_t *mirror, const ts_store_entry_t *entry)
 {
-    return entry->kind != TS_STORE_TRAFFIC && is_earlier_epoch(mirror, entry) &&
-           !epoch_state(mirror, entry->kind).is_rewrite_window;
+    return entry->kind != TS_STORE_TRAFFIC && is_of_earlier_epoch(mirror, entry) &&
+           !epoch_state(mirror, entry->kind).is_window_open;
 }
 
 /*
- * Applies the entries of the current epoch after the rewrite window: deferred ones become
- * effective, and entries of earlier epochs that the service no longer has are marked deleted.
+ * Replaces entries of earlier epochs whose rewrite window is closed: by the deferred entry or, if
+ * there is none, by a tombstone, as the service no longer has the entry.
  */
-static void apply_deferred(ts_store_mirror_t *mirror)
+static void settle_earlier_epochs(ts_store_mirror_t *mirror)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     unsigned adopted = 0;
     unsigned removed = 0;
     ts_time_us_t now_us = ts_clock_now_us();
-    g_hash_table_iter_init(&iterator, mirror->entries);
+    g_hash_table_iter_init(&iterator, mirror->items);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         mirror_entry_t *item = value;
         if (!is_past_rewrite_window(mirror, &item->entry))
@@ -484,16 +502,20 @@
            (unsigned long)mirror->position.revision, adopted, removed);
 }
 
+/*
+ * Closes the instance window first and restarts the timer for the rest of the evacuation window. If
+ * the instance window is the longer one, closes both.
+ */
 static void on_rewrite_timer(uv_timer_t *timer)
 {
     ts_store_mirror_t *mirror = timer->data;
     uint32_t instance_ms = instance_rewrite_window_ms(mirror);
-    if (mirror->is_instance_rewrite_window && instance_ms < OPERATOR_REWRITE_MS)
+    if (mirror->is_instance_window_open && instance_ms < OPERATOR_REWRITE_MS)
         uv_timer_start(timer, on_rewrite_timer, OPERATOR_REWRITE_MS - instance_ms, 0);
     else
-        mirror->is_evacuation_rewrite_window = false;
-    mirror->is_instance_rewrite_window = false;
-    apply_deferred(mirror);
+        mirror->is_evacuation_window_open = false;
+    mirror->is_instance_window_open = false;
+    settle_earlier_epochs(mirror);
 }
 
 /* -- Queries ----------------------------------------------------------------------------------- */
@@ -505,7 +527,7 @@
 
 bool ts_store_mirror_is_empty(const ts_store_mirror_t *mirror)
 {
-    return g_hash_table_size(mirror->entries) == 0;
+    return g_hash_table_size(mirror->items) == 0;
 }
 
 ts_store_position_t ts_store_mirror_position(const ts_store_mirror_t *mirror)
@@ -523,10 +545,13 @@
     return mirror->confirmed_us;
 }
 
-/* Whether an entry of an earlier epoch is effective, other than a tombstone that defers nothing. */
-static bool is_kept_from_earlier(const ts_store_mirror_t *mirror, const mirror_entry_t *item)
+/*
+ * Whether an entry of an earlier epoch is effective. A tombstone counts only if an entry is
+ * deferred because of it.
+ */
+static bool is_kept_from_earlier_epoch(const ts_store_mirror_t *mirror, const mirror_entry_t *item)
 {
-    return is_earlier_epoch(mirror, &item->entry) &&
+    return is_of_earlier_epoch(mirror, &item->entry) &&
            (!item->entry.is_deleted || item->deferred != NULL);
 }
 
@@ -535,20 +560,20 @@
     GHashTableIter iterator;
     gpointer value = NULL;
     unsigned n = 0;
-    g_hash_table_iter_init(&iterator, mirror->entries);
+    g_hash_table_iter_init(&iterator, mirror->items);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
-        n += is_kept_from_earlier(mirror, value);
+        n += is_kept_from_earlier_epoch(mirror, value);
     return n;
 }
 
-static void add_kept_from_earlier(const ts_store_mirror_t *mirror, GPtrArray *changes)
+static void add_kept_from_earlier_epoch(const ts_store_mirror_t *mirror, GPtrArray *changes)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, mirror->entries);
+    g_hash_table_iter_init(&iterator, mirror->items);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         mirror_entry_t *item = value;
-        if (is_kept_from_earlier(mirror, item))
+        if (is_kept_from_earlier_epoch(mirror, item))
             g_ptr_array_add(changes, &item->entry);
     }
 }
@@ -556,7 +581,7 @@
 /* Returns the entry of the current epoch, effective or deferred; NULL if there is none. */
 static ts_store_entry_t *current_epoch_entry(const ts_store_mirror_t *mirror, mirror_entry_t *item)
 {
-    return is_earlier_epoch(mirror, &item->entry) ? item->deferred : &item->entry;
+    return is_of_earlier_epoch(mirror, &item->entry) ? item->deferred : &item->entry;
 }
 
 GPtrArray *ts_store_mirror_changes(const ts_store_mirror_t *mirror, ts_store_position_t after,
@@ -568,14 +593,16 @@
     GPtrArray *changes = g_ptr_array_new();
     GHashTableIter iterator;
     gpointer value = NULL;
-    *is_whole = is_initial || is_other_epoch || ts_store_position_compare(after, mirror->swept) < 0;
-    add_kept_from_earlier(mirror, changes);
-    g_hash_table_iter_init(&iterator, mirror->entries);
+    *is_whole =
+        is_initial || is_other_epoch || ts_store_position_compare(after, mirror->last_swept) < 0;
+    add_kept_from_earlier_epoch(mirror, changes);
+    g_hash_table_iter_init(&iterator, mirror->items);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         ts_store_entry_t *entry = current_epoch_entry(mirror, value);
         if (entry == NULL)
             continue;
-        // A peer in another epoch may still have entries that are deleted here: send tombstones.
+        // A peer in another epoch must get the tombstones too: in its rewrite window it keeps
+        // entries that a list merely lacks (see is_kept_if_unlisted).
         bool is_included = !entry->is_deleted || (is_other_epoch && !is_initial);
         if (*is_whole ? is_included : ts_store_position_compare(entry->changed, after) > 0)
             g_ptr_array_add(changes, entry);
@@ -587,15 +614,15 @@
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, mirror->entries);
+    g_hash_table_iter_init(&iterator, mirror->items);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const mirror_entry_t *item = value;
         bool is_expired = item->entry.is_deleted && item->deferred == NULL &&
                           now_us - item->updated_us > TOMBSTONE_RETENTION_US;
         if (!is_expired)
             continue;
-        if (ts_store_position_compare(item->entry.changed, mirror->swept) > 0)
-            mirror->swept = item->entry.changed;
+        if (ts_store_position_compare(item->entry.changed, mirror->last_swept) > 0)
+            mirror->last_swept = item->entry.changed;
         g_hash_table_iter_remove(&iterator);
     }
 }
--- a/src/control/store_precedence.c
+++ b/src/control/store_precedence.c
@@ -11,8 +11,9 @@
 }
 
 /*
- * A backend that drains only according to the restored entry has begun to drain. Draining is never
- * undone, so the known entry does not override that.
+ * Whether the known instance entry takes precedence over the restored one. It does not if only the
+ * restored entry says that the backend drains: the backend has begun to, and draining is never
+ * undone.
  */
 static bool instance_overrides(const ts_dialect_t *dialect, const ts_store_entry_t *known,
                                const ts_store_entry_t *restored)
@@ -38,9 +39,10 @@
     return known->kind == TS_STORE_INSTANCE && instance_overrides(dialect, known, restored);
 }
 
+/* Whether an entry may stem from the older copy rather than from a write after the restore. */
 static bool may_be_restored(const ts_store_epoch_state_t *state, const ts_store_entry_t *entry)
 {
-    return state->is_rewrite_window && entry->changed.epoch == state->epoch &&
+    return state->is_window_open && entry->changed.epoch == state->epoch &&
            entry->changed.revision <= state->base_revision;
 }
 
--- a/src/control/store_watch.c
+++ b/src/control/store_watch.c
@@ -68,16 +68,16 @@
     uv_timer_t probe_timer;
     ts_time_us_t probe_started_us; /**< start of the pending probe */
     bool is_probing;
-    bool is_probed_watch;  /**< the pending call is a long watch call, monitored by probes */
+    bool is_watch_probed;  /**< the pending call is a long watch call, monitored by probes */
     bool has_probe_failed; /**< a probe failed since the watch call began */
-    unsigned newer_probes; /**< probes in a row that saw a newer revision than the mirror's */
+    unsigned newer_revision_probes; /**< probes in a row with a revision above the mirror's */
 };
 
-static void call_next(uv_timer_t *timer);
+static void start_next_call(uv_timer_t *timer);
 
 static void schedule_call(ts_store_watch_t *watch, uint64_t pause_ms)
 {
-    uv_timer_start(&watch->call_timer, call_next, pause_ms, 0);
+    uv_timer_start(&watch->call_timer, start_next_call, pause_ms, 0);
 }
 
 static void reset_list(ts_store_watch_t *watch)
@@ -87,7 +87,7 @@
 }
 
 /* Returns a random pause with that mean, so that nodes do not call at the same time. */
-static uint32_t jitter(const ts_store_watch_t *watch, uint32_t pause_ms)
+static uint32_t randomize_pause(const ts_store_watch_t *watch, uint32_t pause_ms)
 {
     return pause_ms / 2 + ts_gateway_random(watch->gateway) % MAX(pause_ms, 1);
 }
@@ -105,11 +105,11 @@
     watch->relist_pause_ms =
         CLAMP(watch->relist_pause_ms * BACKOFF_GROWTH, BACKOFF_MIN_MS, BACKOFF_MAX_MS);
     reset_list(watch);
-    return pause_ms == 0 ? 0 : jitter(watch, pause_ms);
+    return pause_ms == 0 ? 0 : randomize_pause(watch, pause_ms);
 }
 
 /* Announces new entries to the other nodes of the zone. */
-static void announce(const ts_store_watch_t *watch)
+static void announce_entries(const ts_store_watch_t *watch)
 {
     if (watch->gateway->peers != NULL) {
         ts_peers_announce(watch->gateway->peers);
@@ -139,7 +139,7 @@
  * Whether the list shows a restore that the service did not report. Without one, a response is
  * never older than the position that was known before the call.
  */
-static bool has_regressed(const ts_store_watch_t *watch)
+static bool has_revision_regressed(const ts_store_watch_t *watch)
 {
     return watch->list_position.epoch == watch->list_start_position.epoch &&
            watch->list_position.revision < watch->list_start_position.revision;
@@ -149,7 +149,7 @@
 static uint64_t finish_list(ts_store_watch_t *watch)
 {
     ts_store_mirror_t *mirror = watch->gateway->mirror;
-    if (has_regressed(watch))
+    if (has_revision_regressed(watch))
         set_list_epoch(watch, watch->list_start_position.epoch + 1);
     if (watch->list_position.epoch < ts_store_mirror_position(mirror).epoch)
         return restart_list(watch); // a peer has reported a later epoch meanwhile
@@ -160,12 +160,12 @@
     log_list(watch, ts_store_mirror_apply_list(mirror, &list));
     g_ptr_array_set_size(watch->list, 0);
     watch->is_listing = false;
-    announce(watch);
+    announce_entries(watch);
     return 0;
 }
 
 /* Whether a page is of another epoch than the first page of the list, or older than it. */
-static bool is_inconsistent_page(const ts_store_watch_t *watch, const ts_store_page_t *page)
+static bool is_page_inconsistent(const ts_store_watch_t *watch, const ts_store_page_t *page)
 {
     return watch->list->len > 0 && (page->position.epoch != watch->list_position.epoch ||
                                     page->position.revision < watch->list_position.revision);
@@ -174,7 +174,7 @@
 /* Adds a page to the list; returns the pause before the next call in milliseconds. */
 static uint64_t add_list_page(ts_store_watch_t *watch, ts_store_page_t *page)
 {
-    if (is_inconsistent_page(watch, page))
+    if (is_page_inconsistent(watch, page))
         return restart_list(watch);
     if (watch->list->len == 0)
         watch->list_position = page->position;
@@ -193,7 +193,7 @@
     if (page->entries->len == 0) {
         return 0;
     }
-    announce(watch);
+    announce_entries(watch);
     return ts_call_pace_take(&watch->pace, ts_clock_now_us()) / TS_US_PER_MS;
 }
 
@@ -238,7 +238,7 @@
     if (watch->gateway->peers != NULL) {
         ts_peers_ask_around(watch->gateway->peers);
     }
-    schedule_call(watch, jitter(watch, watch->backoff_ms));
+    schedule_call(watch, randomize_pause(watch, watch->backoff_ms));
     /* A node without any list cannot serve requests yet, so it retries without backing off. */
     bool is_loaded = ts_store_mirror_is_loaded(watch->gateway->mirror);
     uint32_t max_ms = is_loaded ? BACKOFF_MAX_MS : BACKOFF_MIN_MS;
@@ -302,7 +302,7 @@
 static void on_call_done(void *context, ts_error_t error, const ts_store_response_t *response)
 {
     ts_store_watch_t *watch = context;
-    watch->is_probed_watch = false;
+    watch->is_watch_probed = false;
     if (error != TS_OK) {
         handle_failure(watch, ts_error_name(error));
         return;
@@ -354,9 +354,9 @@
     uint32_t wait_ms = has_dependents(watch) ? WATCH_PROBED_TIMEOUT_MS : WATCH_TIMEOUT_MS;
     watch->watch_position = ts_store_mirror_position(watch->gateway->mirror);
     char *target = watch->gateway->dialect->watch_target(watch->watch_position.revision, wait_ms);
-    watch->is_probed_watch = wait_ms > WATCH_TIMEOUT_MS;
+    watch->is_watch_probed = wait_ms > WATCH_TIMEOUT_MS;
     watch->has_probe_failed = false;
-    watch->newer_probes = 0;
+    watch->newer_revision_probes = 0;
     ts_store_client_get(watch->client, target, wait_ms + WATCH_MARGIN_MS);
     g_free(target);
 }
@@ -374,7 +374,7 @@
     g_free(target);
 }
 
-static void call_next(uv_timer_t *timer)
+static void start_next_call(uv_timer_t *timer)
 {
     ts_store_watch_t *watch = timer->data;
     if (is_standby(watch)) {
@@ -401,7 +401,7 @@
 static void restart_watch(ts_store_watch_t *watch)
 {
     ts_store_client_cancel(watch->client);
-    watch->is_probed_watch = false;
+    watch->is_watch_probed = false;
     schedule_call(watch, 0);
 }
 
@@ -411,18 +411,19 @@
     if (watch->is_listing)
         return;
     ts_store_client_cancel(watch->client);
-    watch->is_probed_watch = false;
+    watch->is_watch_probed = false;
     schedule_call(watch, restart_list(watch));
 }
 
 /* Restarts the pending watch call if a successful probe shows that it may have been lost. */
-static void check_watch(ts_store_watch_t *watch, bool is_newer)
+static void check_watch(ts_store_watch_t *watch, bool has_newer_revision)
 {
-    bool is_affected = watch->is_probed_watch && watch->call_started_us < watch->probe_started_us;
-    if (!is_affected)
+    bool is_probe_later =
+        watch->is_watch_probed && watch->call_started_us < watch->probe_started_us;
+    if (!is_probe_later)
         return;
-    watch->newer_probes = is_newer ? watch->newer_probes + 1 : 0;
-    if (watch->has_probe_failed || watch->newer_probes >= STALE_WATCH_PROBES)
+    watch->newer_revision_probes = has_newer_revision ? watch->newer_revision_probes + 1 : 0;
+    if (watch->has_probe_failed || watch->newer_revision_probes >= STALE_WATCH_PROBES)
         restart_watch(watch);
 }
 
@@ -445,19 +446,19 @@
     const ts_dialect_t *dialect = watch->gateway->dialect;
     bool is_read = dialect->read_page(response->body, response->length, page) == TS_OK;
     uint64_t known = ts_store_mirror_position(mirror).revision;
-    bool is_current = is_read && page->position.revision <= known;
-    if (is_current && !watch->is_failing) {
+    bool is_up_to_date = is_read && page->position.revision <= known;
+    if (is_up_to_date && !watch->is_failing) {
         ts_store_mirror_confirm(mirror, watch->probe_started_us);
     }
     ts_store_page_free(page);
     if (is_read)
-        check_watch(watch, !is_current);
+        check_watch(watch, !is_up_to_date);
 }
 
 /* Whether a peer has reported another epoch than the one of the pending watch call. */
 static bool is_watch_outdated(const ts_store_watch_t *watch)
 {
-    return watch->is_probed_watch &&
+    return watch->is_watch_probed &&
            watch->watch_position.epoch != ts_store_mirror_position(watch->gateway->mirror).epoch;
 }
 
@@ -468,7 +469,7 @@
     const ts_gateway_t *gateway = watch->gateway;
     if (is_watch_outdated(watch))
         restart_watch(watch);
-    bool is_needed = watch->is_probed_watch || has_dependents(watch);
+    bool is_needed = watch->is_watch_probed || has_dependents(watch);
     if (watch->is_probing || !is_needed || !ts_store_mirror_is_loaded(gateway->mirror)) {
         return;
     }
--- a/tests/control/test_store_precedence.c
+++ b/tests/control/test_store_precedence.c
@@ -44,10 +44,10 @@
                               .length = is_deleted ? 0 : 2};
 }
 
-static ts_store_decision_t resolve(bool is_rewrite_window, ts_store_entry_t known,
+static ts_store_decision_t resolve(bool is_window_open, ts_store_entry_t known,
                                    ts_store_entry_t entry)
 {
-    const ts_store_epoch_state_t epoch_state = {CURRENT_EPOCH, BASE_REVISION, is_rewrite_window};
+    const ts_store_epoch_state_t epoch_state = {CURRENT_EPOCH, BASE_REVISION, is_window_open};
     return ts_store_resolve(platform(), &epoch_state, &known, &entry);
 }
 
