--- a/include/tealspar/evidence.h
+++ b/include/tealspar/evidence.h
@@ -46,7 +46,7 @@
 void ts_evidence_count_latency(ts_evidence_count_t *count, double ratio);
 /** Whether a single response time counts as slow; `ratio` is relative to the expected time. */
 bool ts_evidence_is_outlier(double ratio);
-void ts_evidence_count_add(ts_evidence_count_t *count, const ts_evidence_count_t *more);
+void ts_evidence_count_merge(ts_evidence_count_t *count, const ts_evidence_count_t *more);
 /** Adds counts to the sums. */
 void ts_evidence_add(ts_evidence_t *evidence, const ts_evidence_count_t *count,
                      ts_time_us_t now_us);
--- a/include/tealspar/rate_account.h
+++ b/include/tealspar/rate_account.h
@@ -103,7 +103,7 @@
 ts_rate_grant_t ts_rate_account_grant(ts_rate_account_t *account, const ts_rate_params_t *params,
                                       const ts_rate_claim_t *claim, ts_time_us_t now_us);
 /** Tokens that a holder has at hand when it starts to spend its fallback rate. */
-double ts_rate_saved(const ts_rate_params_t *params, double fallback_rate);
+double ts_rate_initial_saved(const ts_rate_params_t *params, double fallback_rate);
 /** Most tokens that a holder may accumulate from its fallback rate, with its part of the burst. */
 double ts_rate_saved_max(const ts_rate_params_t *params, double fallback_rate);
 /**
--- a/include/tealspar/registry.h
+++ b/include/tealspar/registry.h
@@ -139,7 +139,7 @@
 bool ts_registry_update(ts_registry_t *registry, const ts_instance_record_t *record,
                         ts_time_us_t now_us);
 /** Marks the instance as no longer listed by discovery. */
-void ts_registry_remove(ts_registry_t *registry, const char *id, ts_time_us_t now_us);
+void ts_registry_delist(ts_registry_t *registry, const char *id, ts_time_us_t now_us);
 /**
  * Begins or ends the evacuation of a zone: while it lasts, no requests are sent to its backends.
  * Afterwards they go through their service's warm-up again, as they may have turned cold.
@@ -151,7 +151,7 @@
 /** Recomputes the region and distance of every instance after the zones in the settings changed. */
 void ts_registry_update_locations(ts_registry_t *registry);
 /** Applies a complete listing: removes every instance whose id is not in the set `ids`. */
-void ts_registry_keep_only(ts_registry_t *registry, GHashTable *ids, ts_time_us_t now_us);
+void ts_registry_delist_all_except(ts_registry_t *registry, GHashTable *ids, ts_time_us_t now_us);
 /** Frees delisted instances that nothing refers to; to be called periodically. */
 void ts_registry_sweep(ts_registry_t *registry, ts_time_us_t now_us);
 /** Records how long it took to connect to the instance. */
@@ -175,10 +175,12 @@
 /** Called with observations to be shared with other nodes. */
 typedef void (*ts_registry_sighting_t)(void *ctx, const ts_instance_t *instance,
                                        ts_sighting_t sighting);
-void ts_registry_on_sighting(ts_registry_t *registry, ts_registry_sighting_t callback, void *ctx);
+void ts_registry_set_sighting_callback(ts_registry_t *registry, ts_registry_sighting_t callback,
+                                       void *ctx);
 /** Called when an instance's outbox holds something to be forwarded; may be called repeatedly. */
-typedef void (*ts_registry_evidence_t)(void *ctx);
-void ts_registry_on_evidence(ts_registry_t *registry, ts_registry_evidence_t callback, void *ctx);
+typedef void (*ts_registry_evidence_cb_t)(void *ctx);
+void ts_registry_set_evidence_callback(ts_registry_t *registry, ts_registry_evidence_cb_t callback,
+                                       void *ctx);
 /** Calls `visit(instance, context)` for every instance, including earlier incarnations. */
 typedef void (*ts_registry_visit_t)(ts_instance_t *instance, void *context);
 void ts_registry_each_instance(ts_registry_t *registry, ts_registry_visit_t visit, void *context);
--- a/include/tealspar/route_state.h
+++ b/include/tealspar/route_state.h
@@ -39,7 +39,7 @@
  * Starts the round robin at a random position. If all nodes started at the same one, their first
  * requests would all go to the same service.
  */
-void ts_route_state_set_phase(ts_route_state_t *state, uint32_t random);
+void ts_route_state_set_start(ts_route_state_t *state, uint32_t random);
 void ts_route_state_free(ts_route_state_t *state);
 /** Adds the response time of a backend, reduced to that of one in the nearest zone. */
 void ts_route_state_add_latency(ts_route_state_t *state, double span_us);
--- a/src/edge/gateway.c
+++ b/src/edge/gateway.c
@@ -57,7 +57,7 @@
     ts_route_state_t *state = g_hash_table_lookup(gateway->route_states, route->name);
     if (state == NULL) {
         state = ts_route_state_create(route->aim_ms);
-        ts_route_state_set_phase(state, ts_gateway_random(gateway));
+        ts_route_state_set_start(state, ts_gateway_random(gateway));
         g_hash_table_insert(gateway->route_states, g_strdup(route->name), state);
     }
     return state;
@@ -304,7 +304,7 @@
     ts_error_t error = open_listeners(gateway);
     if (error == TS_OK && settings->peers != NULL) {
         gateway->peers = ts_peers_open(gateway, gateway->mirror);
-        ts_registry_on_sighting(gateway->registry, announce_sighting, gateway);
+        ts_registry_set_sighting_callback(gateway->registry, announce_sighting, gateway);
         error = gateway->peers == NULL ? TS_E_LISTEN : TS_OK;
     }
     if (error == TS_OK) {
--- a/src/peers/peer_link.c
+++ b/src/peers/peer_link.c
@@ -83,7 +83,7 @@
     GHashTable *dials; /* number of an open dial -> its peer_t */
     uint32_t last_dial;
     unsigned buffer; /* see BUFFER_MESSAGES */
-    ts_peer_received_t received;
+    ts_peer_received_cb_t received;
     ts_peer_disconnected_t disconnected; /* may be NULL */
     void *context;
 };
@@ -359,8 +359,8 @@
     }
 }
 
-ts_peer_link_t *ts_peer_link_open(uv_loop_t *loop, const char *address, ts_peer_received_t received,
-                                  void *context)
+ts_peer_link_t *ts_peer_link_open(uv_loop_t *loop, const char *address,
+                                  ts_peer_received_cb_t received, void *context)
 {
     ts_peer_link_t *link = g_new0(ts_peer_link_t, 1);
     link->local_ip = g_strndup(address, (gsize)(strrchr(address, ':') - address));
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -271,7 +271,7 @@
     ts_peers_update_homes(peers);
     ts_peers_init_evidence(peers);
     ts_peers_init_quarantine(peers);
-    ts_registry_on_evidence(gateway->registry, ts_peers_schedule_evidence, peers);
+    ts_registry_set_evidence_callback(gateway->registry, ts_peers_schedule_evidence, peers);
     add_seeds(peers);
     uv_timer_init(gateway->loop, &peers->timer);
     peers->timer.data = peers;
--- a/src/registry/instance_health.c
+++ b/src/registry/instance_health.c
@@ -78,7 +78,7 @@
         instance->outbox = (ts_evidence_count_t){0};
         instance->outbox_since_us = now_us;
     }
-    ts_evidence_count_add(&instance->outbox, count);
+    ts_evidence_count_merge(&instance->outbox, count);
     ts_evidence_sums_t known = ts_instance_evidence(instance, now_us);
     if (instance->outbox.has_anomaly || ts_evidence_is_anomalous(&known))
         ts_registry_notify_evidence(instance);
--- a/src/registry/registry.c
+++ b/src/registry/registry.c
@@ -26,7 +26,7 @@
     double rtt_max_us;
     ts_registry_sighting_t on_sighting;
     void *on_sighting_ctx;
-    ts_registry_evidence_t on_evidence;
+    ts_registry_evidence_cb_t on_evidence;
     void *on_evidence_ctx;
 };
 
@@ -332,7 +332,7 @@
 
 /* -- Delisting and cleanup --------------------------------------------------------------------- */
 
-void ts_registry_remove(ts_registry_t *registry, const char *id, ts_time_us_t now_us)
+void ts_registry_delist(ts_registry_t *registry, const char *id, ts_time_us_t now_us)
 {
     ts_instance_t *instance = g_hash_table_lookup(registry->instances, id);
     if (instance != NULL) {
@@ -340,7 +340,7 @@
     }
 }
 
-void ts_registry_keep_only(ts_registry_t *registry, GHashTable *ids, ts_time_us_t now_us)
+void ts_registry_delist_all_except(ts_registry_t *registry, GHashTable *ids, ts_time_us_t now_us)
 {
     GHashTableIter iterator;
     gpointer instance = NULL;
@@ -393,7 +393,8 @@
     return (ts_instance_key_t){instance->id, instance->born_ms};
 }
 
-void ts_registry_on_sighting(ts_registry_t *registry, ts_registry_sighting_t callback, void *ctx)
+void ts_registry_set_sighting_callback(ts_registry_t *registry, ts_registry_sighting_t callback,
+                                       void *ctx)
 {
     registry->on_sighting = callback;
     registry->on_sighting_ctx = ctx;
@@ -406,7 +407,8 @@
         registry->on_sighting(registry->on_sighting_ctx, instance, sighting);
 }
 
-void ts_registry_on_evidence(ts_registry_t *registry, ts_registry_evidence_t callback, void *ctx)
+void ts_registry_set_evidence_callback(ts_registry_t *registry, ts_registry_evidence_cb_t callback,
+                                       void *ctx)
 {
     registry->on_evidence = callback;
     registry->on_evidence_ctx = ctx;
--- a/src/route/evidence.c
+++ b/src/route/evidence.c
@@ -44,7 +44,7 @@
     return count->answers == 0 && count->timed == 0;
 }
 
-void ts_evidence_count_add(ts_evidence_count_t *count, const ts_evidence_count_t *more)
+void ts_evidence_count_merge(ts_evidence_count_t *count, const ts_evidence_count_t *more)
 {
     count->answers += more->answers;
     count->failures += more->failures;
--- a/src/route/rate_account.c
+++ b/src/route/rate_account.c
@@ -81,13 +81,13 @@
     return is_sublet ? ts_hash_mix(address, SUBLET_SALT) : address;
 }
 
-/* Limit of ts_rate_saved(), in seconds of the fallback rate. */
+/* Limit of ts_rate_initial_saved(), in seconds of the fallback rate. */
 #define SAVED_MAX_S 5.0
 
 /* A node on its own must be able to accumulate one token, or it could never spend any. */
 #define SAVED_MIN 1.0
 
-double ts_rate_saved(const ts_rate_params_t *params, double fallback_rate)
+double ts_rate_initial_saved(const ts_rate_params_t *params, double fallback_rate)
 {
     return fallback_rate * MIN(SAVED_SHARE * params->tolerance / params->rate, SAVED_MAX_S);
 }
@@ -95,7 +95,7 @@
 double ts_rate_saved_max(const ts_rate_params_t *params, double fallback_rate)
 {
     double burst = fallback_rate / params->rate * params->burst;
-    return MAX(ts_rate_saved(params, fallback_rate) + burst, SAVED_MIN);
+    return MAX(ts_rate_initial_saved(params, fallback_rate) + burst, SAVED_MIN);
 }
 
 double ts_rate_allowance_spend(ts_rate_allowance_t *allowance, const ts_rate_params_t *params,
--- a/src/route/rate_lease.c
+++ b/src/route/rate_lease.c
@@ -247,7 +247,7 @@
 static double remove_saved(ts_rate_lease_t *lease, const ts_rate_params_t *params,
                            ts_time_us_t now_us)
 {
-    double retained = ts_rate_saved(params, ts_rate_lease_fallback_rate(lease, now_us));
+    double retained = ts_rate_initial_saved(params, ts_rate_lease_fallback_rate(lease, now_us));
     double saved = MAX(lease->fallback_tokens - retained, 0);
     lease->fallback_tokens -= saved;
     lease->saved_state = TS_RATE_SAVED_NONE;
@@ -332,7 +332,7 @@
     if (lease->is_fallback_lent) { // else the previous one stays valid until it expires
         update_fallback_rate(lease, grant, now_us);
         lease->fallback_tokens =
-            MAX(lease->fallback_tokens, ts_rate_saved(params, lease->fallback_rate));
+            MAX(lease->fallback_tokens, ts_rate_initial_saved(params, lease->fallback_rate));
         lease->fallback_tokens_us = MAX(lease->fallback_tokens_us, lease->claim_pending_us);
         if (lease->saved_state == TS_RATE_SAVED_KEPT)
             lease->saved_state = TS_RATE_SAVED_DUE;
--- a/src/route/route_state.c
+++ b/src/route/route_state.c
@@ -29,7 +29,7 @@
     return state;
 }
 
-void ts_route_state_set_phase(ts_route_state_t *state, uint32_t random)
+void ts_route_state_set_start(ts_route_state_t *state, uint32_t random)
 {
     state->turns_to_skip = random % PHASES;
 }
--- a/tests/route/test_evidence.c
+++ b/tests/route/test_evidence.c
@@ -83,7 +83,7 @@
         ts_evidence_count_result(&both, i % 3 == 0);
         ts_evidence_count_latency(&both, 1 + i);
     }
-    ts_evidence_count_add(&a, &b);
+    ts_evidence_count_merge(&a, &b);
     ts_evidence_add(&joined, &a, BEGIN_US);
     ts_evidence_add(&alone, &both, BEGIN_US);
     assert_true(fabs(slowness(&joined, BEGIN_US) - slowness(&alone, BEGIN_US)) < 1e-9);
--- a/tests/route/test_gateway_decisions.c
+++ b/tests/route/test_gateway_decisions.c
@@ -77,7 +77,7 @@
     ts_traffic_route_add_target(route, "b", 0.3);
     for (int node = 0; node < NODES; node++) {
         ts_route_state_t *route_state = ts_route_state_create(100);
-        ts_route_state_set_phase(route_state, g_rand_int(random));
+        ts_route_state_set_start(route_state, g_rand_int(random));
         for (int i = 0; i < REQUESTS; i++)
             firsts += ts_route_state_next_target(route_state, route)[0] == 'a';
         ts_route_state_free(route_state);
@@ -495,7 +495,7 @@
     ts_registry_t *registry = ts_registry_create("z1", two_regions());
     ts_instance_t *near = add(registry, "near", "z1");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
-    ts_registry_remove(registry, "near", now_us);
+    ts_registry_delist(registry, "near", now_us);
     assert_ptr_equal(choose(registry, now_us + 100 * MS), near); /* the last that is left */
     assert_null(choose(registry, now_us + 2100 * MS));
     ts_registry_sweep(registry, now_us + 11 * TS_US_PER_S);
@@ -508,7 +508,7 @@
     ts_registry_t *registry = ts_registry_create("z1", two_regions());
     ts_instance_t *near = add(registry, "near", "z1");
     near->references = 1;
-    ts_registry_remove(registry, "near", TS_US_PER_S);
+    ts_registry_delist(registry, "near", TS_US_PER_S);
     ts_registry_sweep(registry, 20 * TS_US_PER_S);
     assert_ptr_equal(ts_registry_find_current(registry, "near"), near);
     near->references = 0;
