--- a/include/tealspar/admission.h
+++ b/include/tealspar/admission.h
@@ -27,8 +27,7 @@
 /** Whether a slot is free and the kind is below its share (in percent, rounded up) of all slots. */
 bool ts_admission_has_slot(uint32_t slots, uint32_t slots_in_use, uint32_t kind_in_use,
                            uint32_t share_percent);
-/** Rank of a queued job; the highest runs first. It rises with the waiting time, so that no job
- * starves. */
+/** Rank of a queued job; the highest runs first. Rises with waiting, so that no job starves. */
 double ts_admission_rank(uint32_t priority, ts_time_us_t waited_us);
 
 #endif
--- a/include/tealspar/cold_share.h
+++ b/include/tealspar/cold_share.h
@@ -22,7 +22,7 @@
 typedef struct ts_fleet_index {
     unsigned nodes; /**< highest number of live nodes seen at once */
     unsigned index; /**< index of this node in the order of nodes for the instance */
-    bool is_stable; /**< the fleet has had about this size for a while */
+    bool is_stable; /**< others likely see the same: this node is not new and misses few */
 } ts_fleet_index_t;
 
 /** Slices of the sliding window. */
--- a/include/tealspar/evidence.h
+++ b/include/tealspar/evidence.h
@@ -1,10 +1,12 @@
 /**
- * Health statistics of an instance, as sums that can be added up over gateways: responses,
- * failures, and response times relative to the expected time. All sums decay with the same
- * half-life, so that their ratios describe the last few seconds. Does not read the clock.
+ * Evidence of an instance's health, as sums that can be added up over gateways: responses,
+ * failures, and response times relative to the expected time, which the caller passes in (the
+ * median of the route, adjusted for the network distance). All sums decay with a half-life of
+ * 1.5 s, so that their ratios describe the last few seconds. Does not read the clock.
  *
- * An instance that resumes after a pause answers all pending requests late at once. Response times
- * are therefore averaged per time slot, and each slot has the weight of one response.
+ * An instance that resumes after a pause answers all pending requests late at once. Counted singly,
+ * they would outweigh all other responses. Response times are therefore averaged per time slot of
+ * 100 ms, and each slot counts once.
  */
 #ifndef TEALSPAR_EVIDENCE_H
 #define TEALSPAR_EVIDENCE_H
@@ -16,50 +18,53 @@
 
 /** Counts over some period, without decay. */
 typedef struct ts_evidence_count {
-    uint32_t answers;  /**< successes and failures */
-    uint32_t failures; /**< failed responses, and connections lost during a request */
-    uint32_t timed;    /**< responses, or waits given up, with a time ratio */
-    double log_ratio;  /**< sum over `timed` of ln(time / expected time) */
-    bool has_anomaly;  /**< includes a failure or a slow response */
+    uint32_t answers;         /**< results: responses, and connections lost during a request */
+    uint32_t failures;        /**< those of `answers` that were not successful */
+    uint32_t timed;           /**< response times, and waiting times of requests given up */
+    double log_ratio;         /**< sum over `timed` of ln(time / expected time) */
+    bool has_failure_or_slow; /**< has a failure or slow response, or is from another node */
 } ts_evidence_count_t;
 
 /** Sums with exponential decay. */
 typedef struct ts_evidence_sums {
     double answers;
     double failures;
-    double slots;     /**< time slots with timed responses */
+    double slots;     /**< time slots with response times */
     double log_ratio; /**< sum over the slots of the slot's mean ln(time / expected time) */
 } ts_evidence_sums_t;
 
-/** Decaying sums and the current time slot. */
+/** Decaying sums and the latest time slot. */
 typedef struct ts_evidence {
     ts_evidence_sums_t sums;
     ts_time_us_t at_us;   /**< time up to which `sums` have decayed */
-    ts_time_us_t slot_us; /**< start of the current slot; 0: none yet */
-    double slot_timed;    /**< timed responses in the current slot */
+    ts_time_us_t slot_us; /**< start of the latest slot, at its first response time; 0: none yet */
+    double slot_timed;    /**< response times in the latest slot */
     double slot_mean;     /**< their mean ln(time / expected time) */
 } ts_evidence_t;
 
 /** Counts a response, or a connection that was lost instead. */
-void ts_evidence_count_result(ts_evidence_count_t *count, bool is_failure);
+void ts_evidence_count_add_result(ts_evidence_count_t *count, bool is_failure);
 /** Counts a response time; `ratio` is relative to the expected time. */
-void ts_evidence_count_latency(ts_evidence_count_t *count, double ratio);
+void ts_evidence_count_add_latency(ts_evidence_count_t *count, double ratio);
 /** Whether a single response time counts as slow; `ratio` is relative to the expected time. */
-bool ts_evidence_is_outlier(double ratio);
-void ts_evidence_count_add(ts_evidence_count_t *count, const ts_evidence_count_t *more);
-/** Adds counts to the sums. */
+bool ts_evidence_is_slow(double ratio);
+void ts_evidence_count_merge(ts_evidence_count_t *count, const ts_evidence_count_t *more);
+/** Decays the sums to `now_us` and adds counts; their response times enter the slot at `now_us`. */
 void ts_evidence_add(ts_evidence_t *evidence, const ts_evidence_count_t *count,
                      ts_time_us_t now_us);
-/** Replaces the sums. */
+/** Replaces everything by sums as of `now_us`; the next response time starts a new slot. */
 void ts_evidence_set(ts_evidence_t *evidence, const ts_evidence_sums_t *sums, ts_time_us_t now_us);
 /** The sums, decayed to `now_us`. */
 ts_evidence_sums_t ts_evidence_sums(const ts_evidence_t *evidence, ts_time_us_t now_us);
 ts_evidence_sums_t ts_evidence_merge(const ts_evidence_sums_t *a, const ts_evidence_sums_t *b);
 /** Share of responses that failed, 0 to 1; biased towards 0 while there are few responses. */
 double ts_evidence_failure_rate(const ts_evidence_sums_t *sums);
-/** Mean ratio of response time to expected time; biased towards 1 while there are few slots. */
+/** Geometric mean of response time / expected time; biased towards 1 while there are few slots. */
 double ts_evidence_latency_ratio(const ts_evidence_sums_t *sums);
-/** Whether failures or response times are high enough to report all counts to other nodes. */
+/**
+ * Whether the failure rate or latency ratio exceeds its threshold. Nodes report all counts of such
+ * an instance to others.
+ */
 bool ts_evidence_is_anomalous(const ts_evidence_sums_t *sums);
 bool ts_evidence_count_is_empty(const ts_evidence_count_t *count);
 
--- a/include/tealspar/quarantine.h
+++ b/include/tealspar/quarantine.h
@@ -29,10 +29,10 @@
     ts_request_digest_t digest;
     uint32_t epoch;   /**< incremented when the request is suspected again after it was cleared */
     uint32_t strikes; /**< backends that crashed during a lone send */
-    uint32_t trials_begun; /**< over all nodes */
+    uint32_t trials_begun; /**< by all nodes together, as is `trials_ended` */
     uint32_t trials_ended;
     uint32_t age_ms;     /**< time since `strikes` or `is_cleared` last changed */
-    const char *service; /**< service whose backend crashed last; never NULL */
+    const char *service; /**< of the backend that crashed last during the request; never NULL */
     bool is_cleared;     /**< completed successfully since */
 } ts_quarantine_row_t;
 
@@ -51,7 +51,7 @@
 bool ts_quarantine_is_empty(const ts_quarantine_t *quarantine);
 ts_quarantine_state_t ts_quarantine_find(const ts_quarantine_t *quarantine,
                                          const ts_request_digest_t *digest, ts_time_us_t now_us);
-/** The service whose backend crashed last; NULL if there is no entry. */
+/** The service of the backend that crashed last during the request; NULL if there is no entry. */
 const char *ts_quarantine_service(const ts_quarantine_t *quarantine,
                                   const ts_request_digest_t *digest);
 
@@ -65,7 +65,10 @@
  */
 void ts_quarantine_strike(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                           const char *service, ts_time_us_t sent_us, ts_time_us_t now_us);
-/** The request completed successfully at a backend of the service. */
+/**
+ * The request completed successfully at a backend of the service. Ignored if the crash was at a
+ * backend of another service.
+ */
 void ts_quarantine_clear(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                          const char *service, ts_time_us_t now_us);
 /** Begins and ends a trial by this node. A strike or a clear needs no call to end the trial. */
--- a/include/tealspar/rate_account.h
+++ b/include/tealspar/rate_account.h
@@ -1,15 +1,18 @@
 /**
- * Account of one fleet-wide rate limit, at its home node. The account is a token bucket; tokens
- * that are unspent at other nodes take up room in it.
+ * Account of one fleet-wide rate limit, at its home node. The account is a token bucket; unspent
+ * tokens held by other nodes count against its capacity.
  *
- * A node sends a claim to its issuer (the home node, or a deputy of the home in the node's zone)
- * and gets a grant of tokens. Granted tokens are debited at once, so that a lost, late or
- * duplicated message cannot make the fleet spend more.
+ * A node sends a claim to its issuer, which is the home node or a deputy of the home in the node's
+ * zone. The issuer replies with a grant of tokens. Granted tokens are debited at once, so that a
+ * lost, late or duplicated message cannot make the fleet spend more. For each node that sent a
+ * claim within the last 12 s (HOLDER_TIMEOUT_US) the account keeps a record, the holder.
  *
  * A grant also assigns a fallback rate: a part of the rate that the node may spend on its own while
- * no issuer answers. While an issuer answers, the node lends its fallback rate to it. The fallback
- * rates of all nodes add up to at most the rate. The home debits the fallback rate of a node that
- * is silent until it expires.
+ * no issuer answers. While an issuer answers, the node does not spend its fallback rate; it is lent
+ * to the issuer, which may grant those tokens to any node. The fallback rates of all nodes add up
+ * to at most the rate. The home withholds the fallback rate of a node that may be spending it,
+ * because the node is silent (SILENT_US) or does not lend it to this home, until the holder
+ * expires.
  *
  * Uses no sockets and does not read the clock.
  */
@@ -27,93 +30,106 @@
 
 /** Parameters of a rate limit. */
 typedef struct ts_rate_params {
-    double rate;      /**< tokens per second of the whole fleet, above 0 */
-    double burst;     /**< tokens that may be spent at once on top of the rate */
-    double limit;     /**< tokens per window: rate x window + burst */
-    double tolerance; /**< tokens per window beyond `limit` that disagreeing nodes may spend */
+    double rate;  /**< tokens per second of the whole fleet, above 0 */
+    double burst; /**< tokens that may be spent at once on top of the rate */
+    double limit; /**< tokens in any window of the quota window's length: rate x window + burst */
+    double tolerance; /**< excess over `limit` in any window, as nodes cannot agree perfectly */
 } ts_rate_params_t;
 
-/** Recent changes in this node's view of the fleet; determines the initial tokens of an account. */
+/**
+ * When this node's view of the fleet changed. A change may have moved the home of an account, so
+ * the initial tokens of a new account depend on it.
+ */
 typedef struct ts_rate_view_history {
-    ts_time_us_t begun_us;   /**< when this node started */
-    ts_time_us_t changed_us; /**< when the view last changed; 0: never */
-    ts_time_us_t lost_us;    /**< when the view last lost a node; 0: never */
-    ts_time_us_t stable_us;  /**< how long the view had lost no node before that */
+    ts_time_us_t begun_us;              /**< when this node started */
+    ts_time_us_t changed_us;            /**< when the view last changed; 0: never */
+    ts_time_us_t lost_us;               /**< when the view last lost a node; 0: never */
+    ts_time_us_t stable_before_loss_us; /**< `lost_us` minus the previous loss or the start */
 } ts_rate_view_history_t;
 
-/** A claim as received by the home node. */
+/** A claim as received by the home node. That of a deputy sums up the nodes of its zone. */
 typedef struct ts_rate_claim {
-    uint64_t node;           /**< hash of the sender's name */
-    uint64_t address;        /**< hash of the sender's address */
-    uint32_t sequence;       /**< sequence number of the claim */
-    uint32_t spent_alone;    /**< total of tokens spent on its own since it started */
-    unsigned in_hand;        /**< unspent tokens at the sender */
-    unsigned wanted;         /**< tokens that the sender wants to hold */
-    bool is_local;           /**< the sender is the home node itself, which is never silent */
-    double foreign_rate;     /**< part of `fallback_rate` assigned by another issuer */
+    uint64_t node;        /**< hash of the sender's name */
+    uint64_t address;     /**< hash of the sender's address */
+    uint32_t sequence;    /**< sequence number of the claim */
+    uint32_t spent_alone; /**< total of tokens spent on fallback rates since the sender started */
+    unsigned in_hand;     /**< unspent tokens at the sender */
+    unsigned wanted;      /**< tokens that the sender wants to hold */
+    bool is_local;        /**< the sender is the home node itself, which is never silent */
+    double foreign_rate;  /**< part of `fallback_rate` that another issuer assigned */
     uint64_t foreign_issuer; /**< that issuer, see ts_rate_issuer_id() */
-    double request_rate;     /**< requests per second, smoothed */
-    double fallback_rate;    /**< tokens per second that it may spend on its own */
-    bool is_alone;           /**< the node spends `fallback_rate`, or lends it to another issuer */
+    double request_rate;     /**< requests per second, including refused ones, smoothed */
+    double fallback_rate;    /**< tokens per second that may be spent without an issuer */
+    bool is_alone;  /**< `fallback_rate` is spent, or lent to another issuer than this home */
     bool has_moved; /**< `fallback_rate` was lent to another issuer since this home last answered */
     double saved;   /**< tokens accumulated from `fallback_rate` and handed over with this claim */
 } ts_rate_claim_t;
 
-/** Reply to a claim. */
+/** Reply to a claim, or (`has_left`) to a notice that a node leaves this issuer. */
 typedef struct ts_rate_grant {
     unsigned tokens;
     ts_time_us_t valid_us; /**< validity of the tokens, from when the claim was sent */
     double fallback_rate;  /**< fallback rate in tokens per second */
-    bool has_left;  /**< confirms that the receiver has left this issuer; no reply to a claim */
-    bool is_sublet; /**< granted by a deputy from its own lease, not by the home */
-    bool is_lost;   /**< the deputy reaches no home; the receiver is to use its fallback rate */
-    ts_time_us_t wait_us; /**< if no tokens were left: time until the receiver's turn; else 0 */
+    bool has_left;         /**< confirms that the receiver has left; the other fields are unset */
+    bool is_sublet;        /**< granted by a deputy out of tokens that the home granted to it */
+    bool is_home_unreachable; /**< deputy without a home: use the fallback rate */
+    ts_time_us_t wait_us;     /**< if no tokens were left: time until the receiver's turn; else 0 */
 } ts_rate_grant_t;
 
-/** Bound on the tokens that a holder can have accumulated from its fallback rate. */
+/** The issuer's upper bound on the tokens that a node has accumulated from its fallback rate. */
 typedef struct ts_rate_allowance {
     double tokens;
     ts_time_us_t at_us; /**< time of `tokens`; 0: new holder, earlier spending is not counted */
 } ts_rate_allowance_t;
 
 typedef struct ts_rate_account {
-    double tokens;
+    double tokens;              /**< balance; negative: debt */
     ts_time_us_t at_us;         /**< time of `tokens` */
-    ts_time_us_t home_since_us; /**< another node may have been home until then; 0: no */
-    GArray *holders;            /**< nodes that sent a claim lately, of holder_t */
+    ts_time_us_t ramp_start_us; /**< when the view last lost a node; 0: no ramp (RAMP_US) */
+    GArray *holders; /**< of holder_t: nodes whose latest claim is at most HOLDER_TIMEOUT_US old */
 } ts_rate_account_t;
 
 /**
  * Opens an account. Another node may have been home until the view changed, so the bucket starts
  * with the tokens that accrued since then and a part of the tolerance. That part is smaller if
- * nodes were lost shortly one after the other, as each successive home starts with some.
+ * nodes were lost shortly one after the other: each home in a row starts with a part of the
+ * tolerance, and together they must stay within it.
  */
 void ts_rate_account_open(ts_rate_account_t *account, const ts_rate_params_t *params,
                           const ts_rate_view_history_t *view_history, ts_time_us_t now_us);
 void ts_rate_account_clear(ts_rate_account_t *account);
-/** Tokens that a node has spent between two values of its `spent_alone`. */
-uint32_t ts_rate_spent_since(uint32_t before, uint32_t now);
+/** Tokens that a node has spent on its own between two values of its `spent_alone`. */
+uint32_t ts_rate_spent_since(uint32_t previous, uint32_t current);
 /** Whether a claim duplicates the node's latest one; duplicates are not answered. */
 bool ts_rate_account_is_duplicate(const ts_rate_account_t *account, const ts_rate_claim_t *claim);
-/** Removes a node that lends its fallback rate to another issuer from now on. */
+/**
+ * Removes a node that lends its fallback rate to another issuer from now on, and debits what it
+ * spent on its own since its last claim. `spent_alone` as in a claim.
+ */
 void ts_rate_account_remove_holder(ts_rate_account_t *account, uint64_t node, uint32_t spent_alone);
 /** Identifies an issuer: the node with this address (hash), as home or as deputy (`is_sublet`). */
 uint64_t ts_rate_issuer_id(uint64_t address, bool is_sublet);
 /** Answers a claim. */
 ts_rate_grant_t ts_rate_account_grant(ts_rate_account_t *account, const ts_rate_params_t *params,
                                       const ts_rate_claim_t *claim, ts_time_us_t now_us);
-/** Tokens that a holder has at hand when it starts to spend its fallback rate. */
-double ts_rate_saved(const ts_rate_params_t *params, double fallback_rate);
-/** Most tokens that a holder may accumulate from its fallback rate, with its part of the burst. */
+/**
+ * Tokens that a node may spend at once when it starts to use its fallback rate, in proportion to
+ * the tolerance.
+ */
+double ts_rate_initial_saved(const ts_rate_params_t *params, double fallback_rate);
+/**
+ * Most tokens that a node may accumulate from its fallback rate: the initial ones and its
+ * proportional part of the burst; at least one.
+ */
 double ts_rate_saved_max(const ts_rate_params_t *params, double fallback_rate);
 /**
- * Charges tokens that a holder reports as spent on its own, and returns how many of them its
- * fallback rate covers since it was last heard. The rest is not charged: claims delayed by a
- * partition arrive all at once and report tokens that were spent long before.
+ * Returns how many of `spent` tokens an allowance covers, and deducts them from it. The caller
+ * debits only these: claims delayed by a partition arrive all at once, and report tokens that were
+ * spent long before.
  */
 double ts_rate_allowance_spend(ts_rate_allowance_t *allowance, const ts_rate_params_t *params,
                                double fallback_rate, double spent, ts_time_us_t now_us);
-/** Maximum of unspent tokens, at the home and at all other nodes. */
+/** Maximum of unspent tokens, at the home and all other nodes together. */
 double ts_rate_capacity(const ts_rate_params_t *params);
 
 #endif
--- a/include/tealspar/rate_lease.h
+++ b/include/tealspar/rate_lease.h
@@ -27,7 +27,7 @@
     unsigned tokens;                  /**< granted and unspent */
     ts_time_us_t valid_until_us;      /**< expiry of `tokens` */
     double demand;                    /**< tokens wanted per second, short average */
-    double request_rate;              /**< requests per second, longer average */
+    double request_rate;              /**< requests per second of this node, longer average */
     ts_time_us_t demand_us;           /**< time of `demand` */
     ts_time_us_t request_rate_us;     /**< time of `request_rate` */
     ts_time_us_t used_us;             /**< when a token was last wanted */
@@ -35,7 +35,7 @@
     ts_time_us_t claim_sent_us;       /**< when the latest claim was sent */
     uint32_t sequence;                /**< sequence number of the latest claim */
     bool wants_tokens;                /**< the latest claim asks for tokens */
-    ts_time_us_t unanswered_since_us; /**< when the oldest unanswered claim was sent; 0: none */
+    ts_time_us_t unanswered_since_us; /**< first claim that the issuer has not answered; 0: none */
     ts_time_us_t exceeded_until_us;   /**< the issuer has no tokens for this node until then */
     ts_time_us_t claim_after_us;      /**< no claim before that, unless a request waits */
     double fallback_rate;             /**< fallback rate in tokens per second */
@@ -47,11 +47,11 @@
     uint64_t lent_issuer;     /**< issuer that `fallback_rate` is lent to; 0: none */
     ts_time_us_t lent_us;     /**< when the last claim was sent to that issuer */
     bool is_fallback_lent;    /**< the latest claim lends `fallback_rate` to the issuer */
-    bool has_moved;           /**< `fallback_rate` was lent to another issuer since an answer */
+    bool has_moved;           /**< lent to another issuer since the present one last answered */
     bool was_alone;           /**< `is_fallback_lent` was false in the previous claim */
     ts_rate_saved_state_t saved_state; /**< of `fallback_tokens` */
-    uint32_t spent_alone;            /**< total spent on fallback rates, incl. nodes of its zone */
-    double fallback_tokens;          /**< tokens accumulated from `fallback_rate` */
+    uint32_t spent_alone;   /**< total spent on fallback rates; of a deputy: with its zone */
+    double fallback_tokens; /**< tokens accumulated from `fallback_rate` */
     ts_time_us_t fallback_tokens_us; /**< time of `fallback_tokens` */
     bool is_deputy;                  /**< this node also serves other nodes of its zone */
     bool is_request_waiting;         /**< a request waits for a token */
@@ -65,18 +65,19 @@
 void ts_rate_lease_count_demand(ts_rate_lease_t *lease, ts_time_us_t now_us);
 /** Counts a request; call once per request. */
 void ts_rate_lease_count_request(ts_rate_lease_t *lease, ts_time_us_t now_us);
-/** Takes a token. */
+/** Takes a granted token; else an accumulated one, if the issuer is silent or new. */
 ts_rate_verdict_t ts_rate_lease_take(ts_rate_lease_t *lease, const ts_rate_params_t *params,
                                      ts_time_us_t now_us);
 /**
- * Takes up to `tokens_max` tokens for another node of the zone and sets `*taken`. If the home does
- * not answer, takes one token of this node's fallback rate, which covers the zone's use.
+ * Takes up to `tokens_max` granted or accumulated tokens for another node of the zone and sets
+ * `*taken`. If the issuer is silent and no granted token is left, takes one token of this node's
+ * fallback rate, which covers its zone's use.
  */
 ts_rate_verdict_t ts_rate_lease_sublet(ts_rate_lease_t *lease, const ts_rate_params_t *params,
                                        unsigned tokens_max, unsigned *taken, ts_time_us_t now_us);
 /** Treats the issuer as silent, as none is reachable. */
 void ts_rate_lease_mark_unreachable(ts_rate_lease_t *lease, ts_time_us_t now_us);
-/** Returns the token of a request that was not executed. */
+/** Returns the token of a request that was not executed, unless granted tokens have expired. */
 void ts_rate_lease_refund(ts_rate_lease_t *lease, ts_time_us_t now_us);
 /** Tokens that the node wants to hold, given its demand. */
 unsigned ts_rate_lease_target_tokens(const ts_rate_lease_t *lease, const ts_rate_params_t *params,
@@ -86,7 +87,7 @@
                           ts_time_us_t now_us);
 /** The fallback rate; 0 if it has expired. */
 double ts_rate_lease_fallback_rate(const ts_rate_lease_t *lease, ts_time_us_t now_us);
-/** Requests per second, averaged over a few seconds. */
+/** Requests per second of this node, including refused ones; time constant 5 s. */
 double ts_rate_lease_request_rate(const ts_rate_lease_t *lease, ts_time_us_t now_us);
 /**
  * Lends the fallback rate to an issuer (hash of its address) with the claim that is about to be
@@ -109,8 +110,10 @@
                                      ts_time_us_t now_us);
 /** Adds tokens handed over by another node; spent on the fallback rate or handed over in turn. */
 void ts_rate_lease_accept_saved(ts_rate_lease_t *lease, double saved);
-/** Records a claim that is being sent and returns its sequence number. `wants_tokens`: it asks for
- * tokens and not only for renewal of the fallback rate. */
+/**
+ * Records a claim that is being sent and returns its sequence number. `wants_tokens`: it asks for
+ * tokens and not only for renewal of the fallback rate.
+ */
 uint32_t ts_rate_lease_record_claim(ts_rate_lease_t *lease, bool wants_tokens, ts_time_us_t now_us);
 /** Applies the grant for a claim; ignored unless it answers the latest claim. */
 void ts_rate_lease_receive_grant(ts_rate_lease_t *lease, const ts_rate_params_t *params,
--- a/include/tealspar/rate_limiter.h
+++ b/include/tealspar/rate_limiter.h
@@ -19,18 +19,21 @@
     TS_RATE_ISSUER_NONE  /**< unknown */
 } ts_rate_issuer_t;
 
-/** A message between nodes: a claim, a grant, or a notice that the sender leaves an issuer. */
+/**
+ * A message between nodes: a claim, a reply, or a notice that the sender leaves an issuer. The
+ * claim of a deputy sums up the nodes of its zone.
+ */
 typedef struct ts_rate_message {
     const char *account;
     uint32_t sequence;       /**< sequence number of the claim */
     unsigned in_hand;        /**< claim: unspent tokens at the sender */
     uint32_t spent_alone;    /**< claim: total spent on fallback rates since the sender started */
     unsigned wanted;         /**< claim: tokens that the sender wants to hold */
-    double request_rate;     /**< claim: requests per second, smoothed */
-    double fallback_rate;    /**< claim: the sender's fallback rate, in tokens per second */
-    double foreign_rate;     /**< claim: part of `fallback_rate` assigned by another issuer */
+    double request_rate;     /**< claim: requests per second, including refused ones, smoothed */
+    double fallback_rate;    /**< claim: tokens per second that may be spent without an issuer */
+    double foreign_rate;     /**< claim: part of `fallback_rate` that another issuer assigned */
     uint64_t foreign_issuer; /**< claim: that issuer, see ts_rate_issuer_id() */
-    bool is_alone;           /**< claim: `fallback_rate` is not lent to the receiver */
+    bool is_alone;           /**< claim: `fallback_rate` is spent, or lent to another issuer */
     double saved;            /**< claim: tokens handed over, accumulated from `fallback_rate` */
     bool is_leaving; /**< no claim: the sender leaves the receiver, named by `foreign_issuer` */
     bool has_moved;  /**< claim: `fallback_rate` was lent to another issuer since the last answer */
--- a/include/tealspar/replica.h
+++ b/include/tealspar/replica.h
@@ -33,7 +33,7 @@
 bool ts_replica_is_usable(const ts_instance_t *instance, const ts_replica_input_t *input);
 /** Whether the service has listed instances, and placement or evacuation excludes all instances. */
 bool ts_replica_is_excluded(const ts_service_t *service, const ts_replica_input_t *input);
-/** Whether some usable instance has room and has not failed or refused recently. */
+/** Whether some usable instance has room and is not to be avoided after a failure or refusal. */
 bool ts_replica_is_any_free(const ts_service_t *service, const ts_replica_input_t *input);
 /** Why instances cannot take a request now. Each instance counts for its first reason only. */
 typedef struct ts_replica_summary {
@@ -42,7 +42,7 @@
     unsigned evacuated; /**< its zone is being evacuated */
     unsigned leaving;   /**< draining or delisted for too long */
     unsigned full;      /**< at this node's limit */
-    unsigned avoided;   /**< failed or refused recently */
+    unsigned avoided;   /**< to be avoided for now, after a failure or refusal */
     unsigned in_flight; /**< requests of this node at all instances */
 } ts_replica_summary_t;
 
--- a/include/tealspar/retry_budget.h
+++ b/include/tealspar/retry_budget.h
@@ -29,7 +29,7 @@
     uint64_t slice;                               /**< number of the current slice */
     uint32_t borrowed;                            /**< retries granted by other nodes */
     ts_time_us_t borrowed_until_us;               /**< expiry of `borrowed` */
-    ts_time_us_t asked_us;                        /**< time of the last loan request */
+    ts_time_us_t asked_us;                        /**< when this node last requested a loan */
 } ts_retry_budget_t;
 
 /** Counts a request for the service, whether or not it is forwarded. */
--- a/include/tealspar/route-t.h
+++ b/include/tealspar/route-t.h
@@ -22,7 +22,7 @@
     uint64_t snapshot;        /**< index version of the last reply; 0: unknown */
     bool same_zone;           /**< the owner is in this front's zone */
     bool tried;               /**< this subrequest has already been sent to it */
-    bool avoid;               /**< refused or failed recently */
+    bool avoid;               /**< to be avoided for now, after a refusal or failure */
 } ts_candidate_t;
 
 typedef struct ts_choice_input {
--- a/include/tealspar/route_state.h
+++ b/include/tealspar/route_state.h
@@ -1,6 +1,7 @@
 /**
- * Per-route statistics of a node: backend latency, request outcomes, and the position in a weighted
- * split. Kept by route name, so that they survive a configuration change. Does not read the clock.
+ * Per-route statistics of a node: response times of backends, outcomes of requests, and the state
+ * of a weighted round robin. Kept by route name, so that they survive a configuration change. Does
+ * not read the clock.
  */
 #ifndef TEALSPAR_ROUTE_STATE_H
 #define TEALSPAR_ROUTE_STATE_H
@@ -39,17 +40,17 @@
  * Starts the round robin at a random position. If all nodes started at the same one, their first
  * requests would all go to the same service.
  */
-void ts_route_state_set_phase(ts_route_state_t *state, uint32_t random);
+void ts_route_state_set_start(ts_route_state_t *state, uint32_t random);
 void ts_route_state_free(ts_route_state_t *state);
 /** Adds the response time of a backend, reduced to that of one in the nearest zone. */
-void ts_route_state_add_latency(ts_route_state_t *state, double span_us);
+void ts_route_state_add_response_time(ts_route_state_t *state, double response_time_us);
 /** Time after which a request to a backend in the nearest zone is overdue. */
 double ts_route_state_overdue_us(const ts_route_state_t *state);
-/** Adds a request that is overdue, while its response time is still unknown. */
+/** Adds an overdue request, whose response time is still unknown. */
 void ts_route_state_add_overdue(ts_route_state_t *state);
-/** Records the outcome and latency of a request. */
+/** Records the outcome of a request and its latency, from its arrival to its end. */
 void ts_route_state_record_outcome(ts_route_state_t *state, ts_outcome_t outcome,
-                                   ts_time_us_t span_us);
+                                   ts_time_us_t latency_us);
 /** Selects the next target by smooth weighted round robin. */
 const char *ts_route_state_next_target(ts_route_state_t *state, const ts_traffic_route_t *route);
 
--- a/src/edge/gateway.c
+++ b/src/edge/gateway.c
@@ -57,7 +57,7 @@
     ts_route_state_t *state = g_hash_table_lookup(gateway->route_states, route->name);
     if (state == NULL) {
         state = ts_route_state_create(route->aim_ms);
-        ts_route_state_set_phase(state, ts_gateway_random(gateway));
+        ts_route_state_set_start(state, ts_gateway_random(gateway));
         g_hash_table_insert(gateway->route_states, g_strdup(route->name), state);
     }
     return state;
--- a/src/edge/part_answer.c
+++ b/src/edge/part_answer.c
@@ -98,7 +98,7 @@
         double extra_us = ts_rtt_estimate_us(instance->travel) -
                           ts_registry_travel_least_us(part->request->gateway->registry);
         double span_us = MAX((double)result->span_us - extra_us, 1);
-        ts_route_state_add_latency(part->request->state, span_us);
+        ts_route_state_add_response_time(part->request->state, span_us);
     }
     keep_answer(part, result->answer);
     ts_part_set_state(part, TS_PART_IN);
--- a/src/peers/peers_evidence.c
+++ b/src/peers/peers_evidence.c
@@ -79,7 +79,7 @@
 static bool is_worth_telling(const ts_instance_t *instance, ts_time_us_t now_us)
 {
     ts_evidence_sums_t known = ts_instance_evidence(instance, now_us);
-    return instance->outbox.has_anomaly || ts_evidence_is_anomalous(&known);
+    return instance->outbox.has_failure_or_slow || ts_evidence_is_anomalous(&known);
 }
 
 static void count_activity(ts_instance_t *instance, void *ctx)
@@ -222,7 +222,7 @@
 static void take_counts(ts_instance_t *instance, const TsPeer__EvidenceRow *row,
                         ts_time_us_t now_us)
 {
-    ts_evidence_count_t count = {.has_anomaly = true};
+    ts_evidence_count_t count = {.has_failure_or_slow = true};
     count.answers = (uint32_t)CLAMP(row->answers, 0, ROW_ANSWERS_MAX);
     count.failures = (uint32_t)CLAMP(row->failures, 0, (float)count.answers);
     count.timed = (uint32_t)CLAMP(row->timed, 0, ROW_ANSWERS_MAX);
--- a/src/peers/peers_rates.c
+++ b/src/peers/peers_rates.c
@@ -166,7 +166,7 @@
     rate.tokens = row->grant.tokens;
     rate.right_milli = to_milli(row->grant.fallback_rate);
     rate.is_sublet = row->grant.is_sublet;
-    rate.is_lost = row->grant.is_lost;
+    rate.is_lost = row->grant.is_home_unreachable;
     rate.has_left = row->grant.has_left;
     rate.foreign_from = row->foreign_issuer;
     rate.valid_ms = (uint32_t)(row->grant.valid_us / TS_US_PER_MS);
@@ -197,7 +197,7 @@
                              .grant = {.tokens = rate->tokens,
                                        .fallback_rate = rate->right_milli / MILLI,
                                        .is_sublet = rate->is_sublet,
-                                       .is_lost = rate->is_lost,
+                                       .is_home_unreachable = rate->is_lost,
                                        .has_left = rate->has_left,
                                        .valid_us = rate->valid_ms * TS_US_PER_MS,
                                        .wait_us = rate->wait_ms * TS_US_PER_MS}};
--- a/src/registry/instance_health.c
+++ b/src/registry/instance_health.c
@@ -68,15 +68,15 @@
 void ts_instance_add_to_outbox(ts_instance_t *instance, const ts_evidence_count_t *count,
                                ts_time_us_t now_us)
 {
-    bool is_stale =
-        !instance->outbox.has_anomaly && now_us - instance->outbox_since_us > OUTBOX_KEEPS_US;
+    bool is_stale = !instance->outbox.has_failure_or_slow &&
+                    now_us - instance->outbox_since_us > OUTBOX_KEEPS_US;
     if (is_stale || ts_evidence_count_is_empty(&instance->outbox)) {
         instance->outbox = (ts_evidence_count_t){0};
         instance->outbox_since_us = now_us;
     }
-    ts_evidence_count_add(&instance->outbox, count);
+    ts_evidence_count_merge(&instance->outbox, count);
     ts_evidence_sums_t known = ts_instance_evidence(instance, now_us);
-    if (instance->outbox.has_anomaly || ts_evidence_is_anomalous(&known))
+    if (instance->outbox.has_failure_or_slow || ts_evidence_is_anomalous(&known))
         ts_registry_wake(instance);
 }
 
@@ -85,7 +85,7 @@
 {
     ts_evidence_add(&instance->own, count, now_us);
     instance->own_us = now_us;
-    if (count->has_anomaly)
+    if (count->has_failure_or_slow)
         instance->own_sign_us = now_us;
     if (ts_mechanism_is_on(TS_MECHANISM_MERGED))
         ts_instance_add_to_outbox(instance, count, now_us);
@@ -94,7 +94,7 @@
 static void note_time(ts_instance_t *instance, double ratio, ts_time_us_t now_us)
 {
     ts_evidence_count_t count = {0};
-    ts_evidence_count_latency(&count, ratio);
+    ts_evidence_count_add_latency(&count, ratio);
     note_evidence(instance, &count, now_us);
 }
 
@@ -149,7 +149,7 @@
 bool ts_instance_note_unanswered(ts_instance_t *instance, ts_time_us_t now_us, double span_us,
                                  double typical_us)
 {
-    if (typical_us <= 0 || !ts_evidence_is_outlier(span_us / typical_us))
+    if (typical_us <= 0 || !ts_evidence_is_slow(span_us / typical_us))
         return false; // it may still come in time
     note_time(instance, span_us / typical_us, now_us);
     return true;
@@ -207,7 +207,7 @@
 void ts_instance_note_verdict(ts_instance_t *instance, bool is_failure, ts_time_us_t now_us)
 {
     ts_evidence_count_t count = {0};
-    ts_evidence_count_result(&count, is_failure);
+    ts_evidence_count_add_result(&count, is_failure);
     note_evidence(instance, &count, now_us);
 }
 
--- a/src/route/evidence.c
+++ b/src/route/evidence.c
@@ -1,4 +1,4 @@
-/** Health statistics of an instance. */
+/** Evidence of an instance's health. */
 #include "tealspar/evidence.h"
 
 #include <glib.h>
@@ -20,23 +20,23 @@
 #define ANOMALOUS_FAILURE_RATE 0.08
 #define ANOMALOUS_LATENCY_RATIO 1.3
 
-bool ts_evidence_is_outlier(double ratio)
+bool ts_evidence_is_slow(double ratio)
 {
     return ratio > SLOW_RATIO;
 }
 
-void ts_evidence_count_result(ts_evidence_count_t *count, bool is_failure)
+void ts_evidence_count_add_result(ts_evidence_count_t *count, bool is_failure)
 {
     count->answers++;
     count->failures += is_failure;
-    count->has_anomaly |= is_failure;
+    count->has_failure_or_slow |= is_failure;
 }
 
-void ts_evidence_count_latency(ts_evidence_count_t *count, double ratio)
+void ts_evidence_count_add_latency(ts_evidence_count_t *count, double ratio)
 {
     count->timed++;
     count->log_ratio += log(CLAMP(ratio, RATIO_MIN, RATIO_MAX));
-    count->has_anomaly |= ts_evidence_is_outlier(ratio);
+    count->has_failure_or_slow |= ts_evidence_is_slow(ratio);
 }
 
 bool ts_evidence_count_is_empty(const ts_evidence_count_t *count)
@@ -44,13 +44,13 @@
     return count->answers == 0 && count->timed == 0;
 }
 
-void ts_evidence_count_add(ts_evidence_count_t *count, const ts_evidence_count_t *more)
+void ts_evidence_count_merge(ts_evidence_count_t *count, const ts_evidence_count_t *more)
 {
     count->answers += more->answers;
     count->failures += more->failures;
     count->timed += more->timed;
     count->log_ratio += more->log_ratio;
-    count->has_anomaly |= more->has_anomaly;
+    count->has_failure_or_slow |= more->has_failure_or_slow;
 }
 
 ts_evidence_sums_t ts_evidence_sums(const ts_evidence_t *evidence, ts_time_us_t now_us)
@@ -66,7 +66,8 @@
     return sums;
 }
 
-/* Updates the mean of the current slot. The slot counts once, however many responses it has. */
+/* Adds response times to the latest slot, or to a new one if that has ended. The slot counts once,
+ * however many response times it has. */
 static void add_times(ts_evidence_t *evidence, const ts_evidence_count_t *count,
                       ts_time_us_t now_us)
 {
--- a/src/route/rate_account.c
+++ b/src/route/rate_account.c
@@ -26,7 +26,7 @@
 /*
  * A home that took over after nodes were lost grants the rates that holders lend to it, and a part
  * of the remaining rate that ramps up to the whole in this time, starting from the part that may be
- * spent twice. A lost node may still be running and act as home. It notices a partition within 2 s;
+ * spent twice. A lost node may still be running as home, but notices a partition within 2 s;
  * until then both homes together grant in excess, besides what may be spent twice, a third of a
  * second's rate (2 s x 2 s / 2 / 6 s). If nodes only joined, the previous home learns of it at
  * once, and no ramp is needed.
@@ -81,13 +81,13 @@
     return is_sublet ? ts_hash_mix(address, SUBLET_SALT) : address;
 }
 
-/* Limit of ts_rate_saved(), in seconds of the fallback rate. */
+/* Limit of ts_rate_initial_saved(), in seconds of the fallback rate. */
 #define SAVED_MAX_S 5.0
 
 /* A node on its own must be able to accumulate one token, or it could never spend any. */
 #define SAVED_MIN 1.0
 
-double ts_rate_saved(const ts_rate_params_t *params, double fallback_rate)
+double ts_rate_initial_saved(const ts_rate_params_t *params, double fallback_rate)
 {
     return fallback_rate * MIN(SAVED_SHARE * params->tolerance / params->rate, SAVED_MAX_S);
 }
@@ -95,7 +95,7 @@
 double ts_rate_saved_max(const ts_rate_params_t *params, double fallback_rate)
 {
     double burst = fallback_rate / params->rate * params->burst;
-    return MAX(ts_rate_saved(params, fallback_rate) + burst, SAVED_MIN);
+    return MAX(ts_rate_initial_saved(params, fallback_rate) + burst, SAVED_MIN);
 }
 
 double ts_rate_allowance_spend(ts_rate_allowance_t *allowance, const ts_rate_params_t *params,
@@ -130,10 +130,10 @@
 static double ramped_s(const ts_rate_account_t *account, double first, ts_time_us_t from_us,
                        ts_time_us_t to_us)
 {
-    ts_time_us_t home_us = account->home_since_us;
+    ts_time_us_t ramp_start_us = account->ramp_start_us;
     double ramp_s = (double)RAMP_US / TS_US_PER_S;
-    double from_s = (double)(MAX(from_us, home_us) - home_us) / TS_US_PER_S;
-    double to_s = (double)(MAX(to_us, home_us) - home_us) / TS_US_PER_S;
+    double from_s = (double)(MAX(from_us, ramp_start_us) - ramp_start_us) / TS_US_PER_S;
+    double to_s = (double)(MAX(to_us, ramp_start_us) - ramp_start_us) / TS_US_PER_S;
     double rising_s = MIN(to_s, ramp_s);
     double before_s = MIN(from_s, ramp_s);
     double whole_s = MAX(to_s - MAX(from_s, ramp_s), 0);
@@ -145,14 +145,14 @@
                           const ts_rate_view_history_t *view_history, ts_time_us_t now_us)
 {
     double window_s = (params->limit - params->burst) / params->rate;
-    double stable_s = (double)view_history->stable_us / TS_US_PER_S;
+    double stable_s = (double)view_history->stable_before_loss_us / TS_US_PER_S;
     double since_begun = params->rate * (double)(now_us - view_history->begun_us) / TS_US_PER_S;
     double initial = MIN(INITIAL_SHARE * params->tolerance, RESTART_TOKENS + since_begun);
     if (view_history->lost_us != 0)
         initial *= MIN(stable_s / window_s, 1);
     ts_time_us_t since_us =
         view_history->changed_us == 0 ? view_history->begun_us : view_history->changed_us;
-    account->home_since_us = view_history->lost_us;
+    account->ramp_start_us = view_history->lost_us;
     double accrued = params->rate * ramped_s(account, double_spend_share(params), since_us, now_us);
     account->tokens = MIN(initial + accrued, ts_rate_capacity(params));
     account->at_us = now_us;
@@ -175,7 +175,7 @@
 
 /* Earlier spending of a new holder is not charged: it happened while there was no home, and is
  * covered by the tokens that accrued meanwhile. */
-static holder_t *find_holder(ts_rate_account_t *account, const ts_rate_claim_t *claim)
+static holder_t *ensure_holder(ts_rate_account_t *account, const ts_rate_claim_t *claim)
 {
     for (guint i = 0; i < account->holders->len; i++) {
         holder_t *holder = &g_array_index(account->holders, holder_t, i);
@@ -311,7 +311,7 @@
 static double assign_fallback_rate(const ts_rate_account_t *account, const ts_rate_params_t *params,
                                    holder_t *holder, const ts_rate_claim_t *claim)
 {
-    ts_time_us_t age_us = account->at_us - account->home_since_us;
+    ts_time_us_t age_us = account->at_us - account->ramp_start_us;
     double ramp = (double)age_us / RAMP_US;
     if (claim->is_alone) {
         holder->fallback_rate = claim->fallback_rate;
@@ -348,9 +348,9 @@
     return MIN(whole, count_missing(claim));
 }
 
-uint32_t ts_rate_spent_since(uint32_t before, uint32_t now)
+uint32_t ts_rate_spent_since(uint32_t previous, uint32_t current)
 {
-    return now >= before ? now - before : now; // else the process has restarted
+    return current >= previous ? current - previous : current; // else the process has restarted
 }
 
 bool ts_rate_account_is_duplicate(const ts_rate_account_t *account, const ts_rate_claim_t *claim)
@@ -418,7 +418,7 @@
     ts_rate_grant_t grant = {.valid_us = VALID_US};
     refill(account, params, now_us);
     drop_expired_holders(account, now_us);
-    holder_t *holder = find_holder(account, claim);
+    holder_t *holder = ensure_holder(account, claim);
     update_holder(account, params, holder, claim, now_us);
     grant.fallback_rate = assign_fallback_rate(account, params, holder, claim);
     grant.tokens = tokens_to_grant(account, claim);
--- a/src/route/rate_lease.c
+++ b/src/route/rate_lease.c
@@ -16,7 +16,7 @@
 #define CLAIM_RETRY_US (40 * TS_US_PER_MS)
 /*
  * An issuer that does not answer for this long counts as silent. For the home this is a few round
- * trips between regions; for a deputy a little more, as it waits for the home itself.
+ * trips between regions; for a deputy a little more, as the deputy may be waiting for the home.
  */
 #define HOME_SILENT_US (50 * TS_US_PER_MS)
 #define DEPUTY_SILENT_US (70 * TS_US_PER_MS)
@@ -29,7 +29,7 @@
 #define RENEW_US (5 * TS_US_PER_S)
 #define IN_USE_US (60 * TS_US_PER_S)
 /* A fallback rate is renewed well within the second after which its issuer takes a silent node to
- * be spending it. It is valid as long as granted tokens. */
+ * be spending it. Its validity is that of granted tokens. */
 #define RENEW_FALLBACK_US (500 * TS_US_PER_MS)
 #define FALLBACK_VALID_US (10 * TS_US_PER_S)
 /* Remaining validity below which a fallback rate of another issuer may be lowered. */
@@ -247,7 +247,7 @@
 static double remove_saved(ts_rate_lease_t *lease, const ts_rate_params_t *params,
                            ts_time_us_t now_us)
 {
-    double retained = ts_rate_saved(params, ts_rate_lease_fallback_rate(lease, now_us));
+    double retained = ts_rate_initial_saved(params, ts_rate_lease_fallback_rate(lease, now_us));
     double saved = MAX(lease->fallback_tokens - retained, 0);
     lease->fallback_tokens -= saved;
     lease->saved_state = TS_RATE_SAVED_NONE;
@@ -322,7 +322,7 @@
 {
     if (lease->claim_pending_us == 0 || sequence != lease->sequence)
         return;
-    if (grant->is_lost) {
+    if (grant->is_home_unreachable) {
         ts_rate_lease_mark_unreachable(lease, now_us);
         return;
     }
@@ -332,7 +332,7 @@
     if (lease->is_fallback_lent) { // else the previous one stays valid until it expires
         update_fallback_rate(lease, grant, now_us);
         lease->fallback_tokens =
-            MAX(lease->fallback_tokens, ts_rate_saved(params, lease->fallback_rate));
+            MAX(lease->fallback_tokens, ts_rate_initial_saved(params, lease->fallback_rate));
         lease->fallback_tokens_us = MAX(lease->fallback_tokens_us, lease->claim_pending_us);
         if (lease->saved_state == TS_RATE_SAVED_KEPT)
             lease->saved_state = TS_RATE_SAVED_DUE;
--- a/src/route/rate_limiter.c
+++ b/src/route/rate_limiter.c
@@ -176,7 +176,7 @@
     if (has_lost) {
         ts_time_us_t since_us =
             view_history->lost_us == 0 ? view_history->begun_us : view_history->lost_us;
-        view_history->stable_us = now_us - since_us;
+        view_history->stable_before_loss_us = now_us - since_us;
         view_history->lost_us = now_us;
     }
     g_hash_table_foreach_remove(limiter->accounts, is_not_home, limiter);
@@ -461,7 +461,7 @@
                                        now_us);
     if (verdict == TS_RATE_PENDING)
         return false;
-    message.grant.is_lost = verdict == TS_RATE_UNAVAILABLE;
+    message.grant.is_home_unreachable = verdict == TS_RATE_UNAVAILABLE;
     message.grant.fallback_rate = assign_fallback_rate(held, queued->node, now_us);
     message.grant.valid_us = DEPUTY_VALID_US;
     message.grant.wait_us = ts_rate_lease_retry_after_us(&held->lease, now_us);
--- a/tests/route/test_evidence.c
+++ b/tests/route/test_evidence.c
@@ -11,8 +11,8 @@
 static void note_time(ts_evidence_t *evidence, double ratio, ts_time_us_t now_us)
 {
     ts_evidence_count_t count = {0};
-    ts_evidence_count_result(&count, false);
-    ts_evidence_count_latency(&count, ratio);
+    ts_evidence_count_add_result(&count, false);
+    ts_evidence_count_add_latency(&count, ratio);
     ts_evidence_add(evidence, &count, now_us);
 }
 
@@ -59,7 +59,7 @@
     ts_evidence_t evidence = {0};
     ts_evidence_count_t count = {0};
     for (int i = 0; i < 10; i++)
-        ts_evidence_count_result(&count, true);
+        ts_evidence_count_add_result(&count, true);
     ts_evidence_add(&evidence, &count, BEGIN_US);
     note_time(&evidence, 8, BEGIN_US);
     assert_true(failing(&evidence, BEGIN_US) > 0.6);
@@ -78,17 +78,17 @@
     ts_evidence_t joined = {0};
     ts_evidence_t alone = {0};
     for (int i = 0; i < 12; i++) {
-        ts_evidence_count_result(i % 2 ? &a : &b, i % 3 == 0);
-        ts_evidence_count_latency(i % 2 ? &a : &b, 1 + i);
-        ts_evidence_count_result(&both, i % 3 == 0);
-        ts_evidence_count_latency(&both, 1 + i);
+        ts_evidence_count_add_result(i % 2 ? &a : &b, i % 3 == 0);
+        ts_evidence_count_add_latency(i % 2 ? &a : &b, 1 + i);
+        ts_evidence_count_add_result(&both, i % 3 == 0);
+        ts_evidence_count_add_latency(&both, 1 + i);
     }
-    ts_evidence_count_add(&a, &b);
+    ts_evidence_count_merge(&a, &b);
     ts_evidence_add(&joined, &a, BEGIN_US);
     ts_evidence_add(&alone, &both, BEGIN_US);
     assert_true(fabs(slowness(&joined, BEGIN_US) - slowness(&alone, BEGIN_US)) < 1e-9);
     assert_true(fabs(failing(&joined, BEGIN_US) - failing(&alone, BEGIN_US)) < 1e-9);
-    assert_true(a.has_anomaly);
+    assert_true(a.has_failure_or_slow);
 }
 
 /* Absurd times count as no more than very late ones. */
--- a/tests/route/test_gateway_decisions.c
+++ b/tests/route/test_gateway_decisions.c
@@ -33,7 +33,8 @@
     GRand *random = g_rand_new_with_seed(8);
     for (int i = 0; i < 2000; i++) {
         double factor = g_rand_int_range(random, 0, 10) < 3 ? 8 : 1;
-        ts_route_state_add_latency(route_state, factor * g_rand_double_range(random, 20000, 30000));
+        ts_route_state_add_response_time(route_state,
+                                         factor * g_rand_double_range(random, 20000, 30000));
     }
     assert_true(ts_route_state_overdue_us(route_state) < 80000);
     assert_true(ts_route_state_overdue_us(route_state) > 30000);
@@ -77,7 +78,7 @@
     ts_traffic_route_add_target(route, "b", 0.3);
     for (int node = 0; node < NODES; node++) {
         ts_route_state_t *route_state = ts_route_state_create(100);
-        ts_route_state_set_phase(route_state, g_rand_int(random));
+        ts_route_state_set_start(route_state, g_rand_int(random));
         for (int i = 0; i < REQUESTS; i++)
             firsts += ts_route_state_next_target(route_state, route)[0] == 'a';
         ts_route_state_free(route_state);
