--- a/src/registry/instance_health.c
+++ b/src/registry/instance_health.c
@@ -80,7 +80,7 @@
     }
     ts_evidence_count_merge(&instance->outbox, count);
     ts_evidence_sums_t known = ts_instance_evidence(instance, now_us);
-    if (instance->outbox.has_anomaly || ts_evidence_is_anomalous(&known))
+    if (instance->outbox.has_failure_or_slow || ts_evidence_is_anomalous(&known))
         ts_registry_notify_evidence(instance);
 }
 
@@ -98,7 +98,7 @@
 static void add_latency(ts_instance_t *instance, double ratio, ts_time_us_t now_us)
 {
     ts_evidence_count_t count = {0};
-    ts_evidence_count_latency(&count, ratio);
+    ts_evidence_count_add_latency(&count, ratio);
     note_evidence(instance, &count, now_us);
 }
 
@@ -212,7 +212,7 @@
 void ts_instance_note_result(ts_instance_t *instance, bool is_failure, ts_time_us_t now_us)
 {
     ts_evidence_count_t count = {0};
-    ts_evidence_count_result(&count, is_failure);
+    ts_evidence_count_add_result(&count, is_failure);
     note_evidence(instance, &count, now_us);
 }
 
--- a/src/route/rate_lease.c
+++ b/src/route/rate_lease.c
@@ -16,7 +16,7 @@
 #define CLAIM_RETRY_US (40 * TS_US_PER_MS)
 /*
  * An issuer that does not answer for this long counts as silent. For the home this is a few round
- * trips between regions; for a deputy a little more, as it waits for the home itself.
+ * trips between regions; for a deputy a little more, as the deputy may be waiting for the home.
  */
 #define HOME_SILENT_US (50 * TS_US_PER_MS)
 #define DEPUTY_SILENT_US (70 * TS_US_PER_MS)
@@ -29,7 +29,7 @@
 #define RENEW_US (5 * TS_US_PER_S)
 #define IN_USE_US (60 * TS_US_PER_S)
 /* A fallback rate is renewed well within the second after which its issuer takes a silent node to
- * be spending it. It is valid as long as granted tokens. */
+ * be spending it. Its validity is that of granted tokens. */
 #define RENEW_FALLBACK_US (500 * TS_US_PER_MS)
 #define FALLBACK_VALID_US (10 * TS_US_PER_S)
 /* Remaining validity below which a fallback rate of another issuer may be lowered. */
@@ -322,7 +322,7 @@
 {
     if (lease->claim_pending_us == 0 || sequence != lease->sequence)
         return;
-    if (grant->is_lost) {
+    if (grant->is_home_unreachable) {
         ts_rate_lease_mark_unreachable(lease, now_us);
         return;
     }
--- a/tests/route/test_gateway_decisions.c
+++ b/tests/route/test_gateway_decisions.c
@@ -33,7 +33,8 @@
     GRand *random = g_rand_new_with_seed(8);
     for (int i = 0; i < 2000; i++) {
         double factor = g_rand_int_range(random, 0, 10) < 3 ? 8 : 1;
-        ts_route_state_add_latency(route_state, factor * g_rand_double_range(random, 20000, 30000));
+        ts_route_state_add_response_time(route_state,
+                                         factor * g_rand_double_range(random, 20000, 30000));
     }
     assert_true(ts_route_state_overdue_us(route_state) < 80000);
     assert_true(ts_route_state_overdue_us(route_state) > 30000);
