--- a/include/tealspar/contact.h
+++ b/include/tealspar/contact.h
@@ -13,14 +13,14 @@
 
 typedef struct ts_contact ts_contact_t;
 
-/** `node`: hash of this node's name; spreads probes from different nodes over a zone's members. */
-ts_contact_t *ts_contact_create(uint64_t node);
+/** `node_hash`: hash of this node's name; spreads the probes of different nodes over members. */
+ts_contact_t *ts_contact_create(uint64_t node_hash);
 void ts_contact_free(ts_contact_t *contact);
 /** Replaces the members; times of the last acknowledgement from each zone are kept. */
 void ts_contact_set_view(ts_contact_t *contact, const ts_view_t *view);
 /** Records that the node at `address` has acknowledged a frame of this node. */
-void ts_contact_note_reply(ts_contact_t *contact, const char *address, ts_time_us_t now_us);
-/** Whether this node and the zones that replied recently hold more than half of the members. */
+void ts_contact_note_ack(ts_contact_t *contact, const char *address, ts_time_us_t now_us);
+/** Whether this node and recently acknowledging zones hold more than half of the members. */
 bool ts_contact_has_majority(const ts_contact_t *contact, ts_time_us_t now_us);
 /**
  * Returns the address of the next node to probe, at most one in each silent zone, or NULL when no
--- a/include/tealspar/peer_link.h
+++ b/include/tealspar/peer_link.h
@@ -15,15 +15,16 @@
 
 typedef struct ts_peer_link ts_peer_link_t;
 /** Called with each received message; `bytes` are valid during the callback only. */
-typedef void (*ts_peer_received_t)(void *context, const uint8_t *bytes, size_t length);
+typedef void (*ts_peer_received_cb_t)(void *context, const uint8_t *bytes, size_t length);
 /** Called when the connection to the peer at `address` ended without being closed by this node. */
-typedef void (*ts_peer_disconnected_t)(void *context, const char *address);
+typedef void (*ts_peer_disconnected_cb_t)(void *context, const char *address);
 
 /** Listens on "IP:port"; returns NULL on failure. `received` runs on the loop. */
-ts_peer_link_t *ts_peer_link_open(uv_loop_t *loop, const char *address, ts_peer_received_t received,
-                                  void *context);
+ts_peer_link_t *ts_peer_link_open(uv_loop_t *loop, const char *address,
+                                  ts_peer_received_cb_t received, void *context);
 /** Sets the callback for ended connections; it runs on the loop with the link's context. */
-void ts_peer_link_on_disconnect(ts_peer_link_t *link, ts_peer_disconnected_t disconnected);
+void ts_peer_link_set_disconnect_callback(ts_peer_link_t *link,
+                                          ts_peer_disconnected_cb_t disconnected);
 /** Sets the number of messages queued per peer (default 64); call before the first send. */
 void ts_peer_link_set_buffer(ts_peer_link_t *link, unsigned messages);
 /** Sends a message, or drops one when the queue of the peer is full. Never blocks. */
--- a/include/tealspar/peers.h
+++ b/include/tealspar/peers.h
@@ -1,6 +1,6 @@
 /**
  * Communication with the other gateways: membership and the messages exchanged between nodes. In
- * each zone one node, the watcher, follows the configuration service and distributes its changes;
+ * each zone one node, the watcher, watches the configuration service and distributes its changes;
  * the other nodes query the service themselves only when they receive no updates. Suspicions of
  * backends are shared within the region.
  */
@@ -12,7 +12,7 @@
 
 /** Listens for peers; returns NULL on failure. The settings must contain a peer address. */
 ts_peers_t *ts_peers_open(ts_gateway_t *gateway, ts_store_mirror_t *mirror);
-/** Whether this node should follow the configuration service itself now. */
+/** Whether this node should watch the configuration service itself now. */
 bool ts_peers_should_watch(const ts_peers_t *peers, ts_time_us_t now_us);
 /** Whether another node of the zone is the watcher. */
 bool ts_peers_is_follower(const ts_peers_t *peers);
@@ -20,10 +20,10 @@
 bool ts_peers_has_followers(const ts_peers_t *peers);
 /** Announces a change read from the configuration service to the zone immediately. */
 void ts_peers_announce(ts_peers_t *peers);
-/** Pulls configuration changes from a random peer, as the service does not respond. */
-void ts_peers_pull_from_random(ts_peers_t *peers);
-/** Sends a health observation of an instance to nodes of the region. */
-void ts_peers_broadcast_sighting(ts_peers_t *peers, ts_instance_key_t key, ts_sighting_t sighting);
+/** Pulls changes from a random peer; for nodes without entries or access to the service. */
+void ts_peers_pull_from_random_peer(ts_peers_t *peers);
+/** Sends a health observation of an instance to some nodes of each zone of the region. */
+void ts_peers_share_sighting(ts_peers_t *peers, ts_instance_key_t key, ts_sighting_t sighting);
 /**
  * This node's index in the order of the nodes that keep connections to an instance: nodes of the
  * instance's region first, then the others, each group by rendezvous weight.
--- a/include/tealspar/registry.h
+++ b/include/tealspar/registry.h
@@ -58,8 +58,8 @@
     uint32_t slots;
     bool is_evacuated; /**< its zone is being evacuated: no requests are sent to it */
     bool is_draining;
-    bool is_listed;          /**< currently listed by discovery */
-    ts_time_us_t left_us;    /**< when it began to drain or was delisted */
+    bool is_listed;       /**< currently listed by discovery */
+    ts_time_us_t left_us; /**< when draining last began or ended; when delisted, if not draining */
     ts_time_us_t warm_at_us; /**< end of its warm-up; it is slow until then */
     ts_cold_window_t cold;   /**< this node's recent sends, if its service limits cold instances */
     ts_time_us_t cold_at_us; /**< when this node's share in `cold` was last computed */
@@ -78,7 +78,7 @@
     bool is_suspected_by_peer;     /**< the suspicion came from a peer, not from this node */
     ts_time_us_t suspect_sent_us;  /**< last request sent to it while suspected */
     ts_time_us_t avoid_until_us;   /**< end of the pause after a failed connection or a refusal */
-    uint32_t failures;             /**< consecutive */
+    uint32_t failures;             /**< consecutive failed connections and requests */
     ts_time_us_t connect_begun_us; /**< begin of the last successful connection; 0: none yet */
     bool has_ended; /**< its process is gone: connections refused, or it was replaced */
     /* Failures and latencies of its answers, see tealspar/evidence.h. */
@@ -87,16 +87,16 @@
     ts_evidence_t *collected_evidence; /**< owned; set only on the collector, else NULL */
     ts_evidence_count_t outbox;        /**< not forwarded yet, including counts from other nodes */
     ts_time_us_t outbox_since_us;      /**< when the oldest count in the outbox was added */
-    ts_time_us_t own_evidence_us;      /**< when this node last got an answer */
-    ts_time_us_t own_anomaly_us;       /**< when this node last got a failure or a late answer */
+    ts_time_us_t own_evidence_us;      /**< when `own_evidence` was last added to */
+    ts_time_us_t own_anomaly_us;       /**< when an anomalous answer was last added to it */
     /* Its connections; see tealspar/upstream.h. */
     GQueue idle;                             /**< of ts_connection_t, most recently used first */
     uint32_t connections;                    /**< open ones, idle and busy */
     uint32_t idle_connections_max;           /**< idle connections that this node may keep */
     ts_time_us_t idle_connections_max_at_us; /**< when `idle_connections_max` was computed */
-    uint64_t idle_connections_basis; /**< version of the fleet's view that it was computed from */
-    ts_time_us_t idle_max_us;       /**< idle time after which it drops connections; 0: not known */
-    ts_time_us_t idle_max_until_us; /**< when `idle_max_us` expires */
+    uint64_t idle_connections_basis; /**< fingerprint of the view and node count used for it */
+    ts_time_us_t idle_max_us;        /**< longest idle time before reuse; 0: not known */
+    ts_time_us_t idle_max_until_us;  /**< when `idle_max_us` expires */
 } ts_instance_t;
 
 /** Number of priorities with refusal statistics of their own; lower ones count as the last. */
@@ -138,8 +138,8 @@
  */
 bool ts_registry_update(ts_registry_t *registry, const ts_instance_record_t *record,
                         ts_time_us_t now_us);
-/** Marks the instance as no longer listed by discovery. */
-void ts_registry_remove(ts_registry_t *registry, const char *id, ts_time_us_t now_us);
+/** Marks the instance as no longer listed by discovery; ts_registry_sweep frees it later. */
+void ts_registry_delist(ts_registry_t *registry, const char *id, ts_time_us_t now_us);
 /**
  * Begins or ends the evacuation of a zone: while it lasts, no requests are sent to its backends.
  * Afterwards they go through their service's warm-up again, as they may have turned cold.
@@ -150,13 +150,13 @@
 bool ts_registry_is_evacuated(const ts_registry_t *registry, const char *zone);
 /** Recomputes the region and distance of every instance after the zones in the settings changed. */
 void ts_registry_update_locations(ts_registry_t *registry);
-/** Applies a complete listing: removes every instance whose id is not in the set `ids`. */
-void ts_registry_keep_only(ts_registry_t *registry, GHashTable *ids, ts_time_us_t now_us);
-/** Frees delisted instances that nothing refers to; to be called periodically. */
+/** Applies a complete listing: delists every instance whose id is not in the set `ids`. */
+void ts_registry_delist_all_except(ts_registry_t *registry, GHashTable *ids, ts_time_us_t now_us);
+/** Frees instances delisted some time ago that nothing refers to; to be called periodically. */
 void ts_registry_sweep(ts_registry_t *registry, ts_time_us_t now_us);
 /** Records how long it took to connect to the instance. */
 void ts_registry_add_rtt_sample(ts_registry_t *registry, const ts_instance_t *instance,
-                                ts_time_us_t span_us);
+                                ts_time_us_t connect_us);
 /** Shortest and longest round-trip time to a zone that has had backends, in microseconds. */
 double ts_registry_rtt_min_us(const ts_registry_t *registry);
 double ts_registry_rtt_max_us(const ts_registry_t *registry);
@@ -173,12 +173,14 @@
 } ts_sighting_t;
 
 /** Called with observations to be shared with other nodes. */
-typedef void (*ts_registry_sighting_t)(void *ctx, const ts_instance_t *instance,
-                                       ts_sighting_t sighting);
-void ts_registry_on_sighting(ts_registry_t *registry, ts_registry_sighting_t callback, void *ctx);
+typedef void (*ts_registry_sighting_cb_t)(void *ctx, const ts_instance_t *instance,
+                                          ts_sighting_t sighting);
+void ts_registry_set_sighting_callback(ts_registry_t *registry, ts_registry_sighting_cb_t callback,
+                                       void *ctx);
 /** Called when an instance's outbox holds something to be forwarded; may be called repeatedly. */
-typedef void (*ts_registry_evidence_t)(void *ctx);
-void ts_registry_on_evidence(ts_registry_t *registry, ts_registry_evidence_t callback, void *ctx);
+typedef void (*ts_registry_evidence_cb_t)(void *ctx);
+void ts_registry_set_evidence_callback(ts_registry_t *registry, ts_registry_evidence_cb_t callback,
+                                       void *ctx);
 /** Calls `visit(instance, context)` for every instance, including earlier incarnations. */
 typedef void (*ts_registry_visit_t)(ts_instance_t *instance, void *context);
 void ts_registry_each_instance(ts_registry_t *registry, ts_registry_visit_t visit, void *context);
@@ -187,7 +189,7 @@
 /** Number of instances listed by discovery. */
 unsigned ts_registry_count_listed(const ts_registry_t *registry);
 
-/** Records an answer after `span_us`; `typical_us`: the usual time for such a request. */
+/** Records an answer after `span_us`; `typical_us`: typical time for such a request, 0: unknown. */
 void ts_instance_note_answer(ts_instance_t *instance, ts_time_us_t now_us, double span_us,
                              double typical_us);
 /**
--- a/src/control/mesh.c
+++ b/src/control/mesh.c
@@ -249,7 +249,7 @@
     if (mesh.link == NULL)
         return TS_E_LISTEN;
     ts_peer_link_set_buffer(mesh.link, BUFFER_FRAMES);
-    ts_peer_link_on_disconnect(mesh.link, take_lost);
+    ts_peer_link_set_disconnect_callback(mesh.link, take_lost);
     return TS_OK;
 }
 
--- a/src/control/store_mirror.c
+++ b/src/control/store_mirror.c
@@ -87,7 +87,7 @@
     ts_count_error(error);
     ts_log(TS_EVENT_BACKEND_REFUSED, "entry=%.*s reason=%s bytes=%zu", REFUSED_ID_MAX, entry->id,
            ts_error_name(error), entry->length);
-    ts_registry_remove(registry, entry->id, now_us);
+    ts_registry_delist(registry, entry->id, now_us);
 }
 
 static void apply_instance(ts_store_mirror_t *mirror, const ts_store_entry_t *entry,
@@ -95,7 +95,7 @@
 {
     ts_registry_t *registry = mirror->gateway->registry;
     if (entry->is_gone) {
-        ts_registry_remove(registry, entry->id, now_us);
+        ts_registry_delist(registry, entry->id, now_us);
         return;
     }
     ts_instance_record_t record = {0};
--- a/src/control/store_watch.c
+++ b/src/control/store_watch.c
@@ -232,7 +232,7 @@
     ts_count(TS_COUNTER_PLATFORM_FAILURES, 1);
     note_lost(watch, reason);
     if (watch->gateway->peers != NULL) {
-        ts_peers_pull_from_random(watch->gateway->peers);
+        ts_peers_pull_from_random_peer(watch->gateway->peers);
     }
     pause_for(watch, spread(watch, watch->backoff_ms));
     /* A node that knows nothing yet can serve nobody: it keeps asking. */
--- a/src/edge/gateway.c
+++ b/src/edge/gateway.c
@@ -206,7 +206,7 @@
 static void tell_peers(void *ctx, const ts_instance_t *instance, ts_sighting_t sighting)
 {
     const ts_gateway_t *gateway = ctx;
-    ts_peers_broadcast_sighting(gateway->peers, ts_instance_key_of(instance), sighting);
+    ts_peers_share_sighting(gateway->peers, ts_instance_key_of(instance), sighting);
 }
 
 /* How many resting connections to an instance this node keeps; worked out when the fleet changes.
@@ -303,7 +303,7 @@
     ts_error_t error = open_listeners(gateway);
     if (error == TS_OK && settings->peers != NULL) {
         gateway->peers = ts_peers_open(gateway, gateway->mirror);
-        ts_registry_on_sighting(gateway->registry, tell_peers, gateway);
+        ts_registry_set_sighting_callback(gateway->registry, tell_peers, gateway);
         error = gateway->peers == NULL ? TS_E_LISTEN : TS_OK;
     }
     if (error == TS_OK) {
--- a/src/peers/contact.c
+++ b/src/peers/contact.c
@@ -7,23 +7,26 @@
 /* A zone counts as reachable for this long after an acknowledgement, enough to tolerate two lost
  * probes in a row. */
 #define REACHABLE_TIMEOUT_US (2 * TS_US_PER_S)
-/* Silence after which a zone is probed, and the interval of probes while it stays silent. */
+/* Time since the last acknowledgement after which a zone is probed, and the interval of its probes
+ * until the next one. */
 #define PROBE_AFTER_US (700 * TS_US_PER_MS)
 #define PROBE_INTERVAL_US (400 * TS_US_PER_MS)
 
 typedef struct zone {
     char *name;
-    GPtrArray *addresses; /* of its members except this node; owned strings */
-    ts_time_us_t replied_us;
-    ts_time_us_t probed_us;
-    guint next; /* index of the member to probe; advances after an unanswered probe */
+    GPtrArray *addresses;   /* of its members except this node; owned strings */
+    ts_time_us_t acked_us;  /* last acknowledgement from a member; 0: never */
+    ts_time_us_t probed_us; /* last probe; 0: never */
+    /* Modulo the number of addresses, selects the member to probe; incremented when a probe was not
+     * acknowledged. */
+    guint next;
 } zone_t;
 
 struct ts_contact {
     guint probe_offset; /* initial `next` of a zone; differs between nodes to spread their probes */
     GPtrArray *zones;
     GHashTable *zone_by_address; /* address -> zone_t */
-    size_t members;
+    size_t members;              /* size of the view, this node included */
 };
 
 static void free_zone(gpointer data)
@@ -34,10 +37,10 @@
     g_free(zone);
 }
 
-ts_contact_t *ts_contact_create(uint64_t node)
+ts_contact_t *ts_contact_create(uint64_t node_hash)
 {
     ts_contact_t *contact = g_new0(ts_contact_t, 1);
-    contact->probe_offset = (guint)node;
+    contact->probe_offset = (guint)node_hash;
     contact->zones = g_ptr_array_new_with_free_func(free_zone);
     contact->zone_by_address = g_hash_table_new(g_str_hash, g_str_equal);
     contact->members = 1;
@@ -83,11 +86,11 @@
     }
 }
 
-void ts_contact_note_reply(ts_contact_t *contact, const char *address, ts_time_us_t now_us)
+void ts_contact_note_ack(ts_contact_t *contact, const char *address, ts_time_us_t now_us)
 {
     zone_t *zone = g_hash_table_lookup(contact->zone_by_address, address);
     if (zone != NULL)
-        zone->replied_us = now_us;
+        zone->acked_us = now_us;
 }
 
 bool ts_contact_has_majority(const ts_contact_t *contact, ts_time_us_t now_us)
@@ -95,7 +98,7 @@
     size_t reachable = 1; // this node
     for (guint i = 0; i < contact->zones->len; i++) {
         const zone_t *zone = g_ptr_array_index(contact->zones, i);
-        if (zone->replied_us != 0 && now_us - zone->replied_us < REACHABLE_TIMEOUT_US)
+        if (zone->acked_us != 0 && now_us - zone->acked_us < REACHABLE_TIMEOUT_US)
             reachable += zone->addresses->len;
     }
     return 2 * reachable > contact->members;
@@ -105,11 +108,12 @@
 {
     for (guint i = 0; i < contact->zones->len; i++) {
         zone_t *zone = g_ptr_array_index(contact->zones, i);
-        bool is_silent = now_us - zone->replied_us > PROBE_AFTER_US;
-        bool is_probed = zone->probed_us != 0 && now_us - zone->probed_us < PROBE_INTERVAL_US;
-        if (zone->addresses->len == 0 || !is_silent || is_probed)
+        bool is_silent = now_us - zone->acked_us > PROBE_AFTER_US;
+        bool was_probed_recently =
+            zone->probed_us != 0 && now_us - zone->probed_us < PROBE_INTERVAL_US;
+        if (zone->addresses->len == 0 || !is_silent || was_probed_recently)
             continue;
-        if (zone->probed_us > zone->replied_us)
+        if (zone->probed_us > zone->acked_us)
             zone->next++;
         zone->probed_us = now_us;
         return g_ptr_array_index(zone->addresses, zone->next % zone->addresses->len);
--- a/src/peers/peer_link.c
+++ b/src/peers/peer_link.c
@@ -27,7 +27,7 @@
 #define RECONNECT_MIN_MS 100
 #define RECONNECT_MAX_MS 1000
 /*
- * A dial without a connection after this time is replaced by a new one. Its SYN was lost in a
+ * A dial without a connection after this time is replaced at the next send. Its SYN was lost in a
  * network partition or at a full accept queue, and the kernel retransmits it at intervals that
  * double, so that reaching the peer after the partition could take as long as the partition lasted.
  */
@@ -83,8 +83,8 @@
     GHashTable *dials; /* number of an open dial -> its peer_t */
     uint32_t last_dial;
     unsigned buffer; /* see BUFFER_MESSAGES */
-    ts_peer_received_t received;
-    ts_peer_disconnected_t disconnected; /* may be NULL */
+    ts_peer_received_cb_t received;
+    ts_peer_disconnected_cb_t disconnected; /* may be NULL */
     void *context;
 };
 
@@ -178,7 +178,7 @@
     return status == 0;
 }
 
-static peer_t *find_peer(ts_peer_link_t *link, const char *address)
+static peer_t *find_or_add_peer(ts_peer_link_t *link, const char *address)
 {
     peer_t *peer = g_hash_table_lookup(link->peers, address);
     if (peer == NULL) {
@@ -234,7 +234,7 @@
 void ts_peer_link_send(ts_peer_link_t *link, const char *address, const uint8_t *bytes,
                        size_t length)
 {
-    peer_t *peer = find_peer(link, address);
+    peer_t *peer = find_or_add_peer(link, address);
     nng_msg *message = NULL;
     peer->used_us = ts_clock_now_us();
     if (has_dial_timed_out(peer, peer->used_us))
@@ -315,7 +315,8 @@
 
 /* -- Public interface -------------------------------------------------------------------------- */
 
-void ts_peer_link_on_disconnect(ts_peer_link_t *link, ts_peer_disconnected_t disconnected)
+void ts_peer_link_set_disconnect_callback(ts_peer_link_t *link,
+                                          ts_peer_disconnected_cb_t disconnected)
 {
     link->disconnected = disconnected;
 }
@@ -359,8 +360,8 @@
     }
 }
 
-ts_peer_link_t *ts_peer_link_open(uv_loop_t *loop, const char *address, ts_peer_received_t received,
-                                  void *context)
+ts_peer_link_t *ts_peer_link_open(uv_loop_t *loop, const char *address,
+                                  ts_peer_received_cb_t received, void *context)
 {
     ts_peer_link_t *link = g_new0(ts_peer_link_t, 1);
     link->local_ip = g_strndup(address, (gsize)(strrchr(address, ':') - address));
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -9,8 +9,9 @@
 #include "tealspar/log.h"
 
 #define PROTOCOL 1
-/* Tick of membership, and the number of ticks between beacons of the watcher. */
+/* Interval of membership ticks. */
 #define TICK_MS 250
+/* Ticks between beacons of the watcher. */
 #define BEACON_TICKS 2
 /* Fan-out of the tree along which frames are distributed within a zone. */
 #define TREE_CHILDREN 16U
@@ -131,7 +132,7 @@
     return (a_weight < b_weight) - (a_weight > b_weight);
 }
 
-static void sort_zone(ts_peers_t *peers)
+static void update_zone_order(ts_peers_t *peers)
 {
     const char *zone = peers->gateway->settings->zone;
     g_ptr_array_set_size(peers->zone_order, 0);
@@ -172,7 +173,7 @@
     ts_peers_t *peers = context;
     ts_view_unref(peers->view);
     peers->view = ts_membership_view(peers->membership);
-    sort_zone(peers);
+    update_zone_order(peers);
     ts_peers_locate_members(peers);
     ts_peers_choose_collector(peers);
     ts_peers_update_homes(peers);
@@ -182,8 +183,8 @@
     ts_gateway_set_nodes(peers->gateway, (unsigned)peers->view->count);
 }
 
-static void log_member(void *context, const char *name, ts_member_state_t old,
-                       ts_member_state_t state)
+static void log_member_state(void *context, const char *name, ts_member_state_t old,
+                             ts_member_state_t state)
 {
     ts_log(TS_EVENT_MEMBER_STATE, "peer=%s before=%s state=%s", name, ts_member_state_name(old),
            ts_member_state_name(state));
@@ -194,7 +195,7 @@
     ts_peers_t *peers = timer->data;
     ts_membership_tick(peers->membership, ts_clock_now_us());
     if (ts_peers_needs_bootstrap(peers)) {
-        ts_peers_pull_from_random(peers);
+        ts_peers_pull_from_random_peer(peers);
     }
     ts_peers_compare_quarantine(peers);
     ts_peers_probe_silent_zones(peers);
@@ -241,7 +242,7 @@
 ts_peers_t *ts_peers_open(ts_gateway_t *gateway, ts_store_mirror_t *mirror)
 {
     static const ts_membership_ops_t ops = {send_gossip, ts_peers_handle_config_version,
-                                            update_view, log_member};
+                                            update_view, log_member_state};
     const ts_gateway_settings_t *settings = gateway->settings;
     ts_peers_t *peers = g_new0(ts_peers_t, 1);
     uint64_t incarnation = (uint64_t)ts_clock_wall_ms();
@@ -266,12 +267,12 @@
     peers->regions = g_ptr_array_new();
     peers->distances = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     peers->view = ts_membership_view(peers->membership);
-    sort_zone(peers);
+    update_zone_order(peers);
     ts_peers_locate_members(peers);
     ts_peers_update_homes(peers);
     ts_peers_init_evidence(peers);
     ts_peers_init_quarantine(peers);
-    ts_registry_on_evidence(gateway->registry, ts_peers_schedule_evidence, peers);
+    ts_registry_set_evidence_callback(gateway->registry, ts_peers_schedule_evidence, peers);
     add_seeds(peers);
     uv_timer_init(gateway->loop, &peers->timer);
     peers->timer.data = peers;
--- a/src/peers/peers_echo.c
+++ b/src/peers/peers_echo.c
@@ -14,10 +14,11 @@
 #define ACK_TIMEOUT_US (350 * TS_US_PER_MS)
 
 typedef struct ack {
-    uint32_t sent;                  /* number of the last frame to the peer */
-    uint32_t acknowledged;          /* last of these that the peer has acknowledged */
-    uint32_t heard;                 /* number of the last frame from the peer */
-    ts_time_us_t unacknowledged_us; /* since when frames are unacknowledged; 0: none are */
+    uint32_t last_sent;             /* number of the last frame to the peer */
+    uint32_t last_acknowledged;     /* last of these that the peer has acknowledged */
+    uint32_t last_received;         /* number of the last frame from the peer */
+    ts_time_us_t unacknowledged_us; /* since when frames are unacknowledged, or the last partial
+                                       ack; 0: none are */
     ts_time_us_t requested_us;      /* when an ack was requested; 0: no request is outstanding */
 } ack_state_t;
 
@@ -58,10 +59,11 @@
     ts_time_us_t now_us = ts_clock_now_us();
     ack_state_t *ack = find_or_add_ack_state(peers, address);
     reset_if_overdue(peers, address, ack, now_us);
-    bool is_old = ack->unacknowledged_us != 0 && now_us - ack->unacknowledged_us > REQUEST_AFTER_US;
-    frame->number = ++ack->sent;
-    frame->heard = ack->heard;
-    frame->wants_echo |= frame->gossip.len > 0 || is_old;
+    bool needs_ack =
+        ack->unacknowledged_us != 0 && now_us - ack->unacknowledged_us > REQUEST_AFTER_US;
+    frame->number = ++ack->last_sent;
+    frame->heard = ack->last_received;
+    frame->wants_echo |= frame->gossip.len > 0 || needs_ack;
     if (ack->unacknowledged_us == 0)
         ack->unacknowledged_us = now_us;
     if (frame->wants_echo && ack->requested_us == 0)
@@ -72,13 +74,13 @@
 {
     ts_time_us_t now_us = ts_clock_now_us();
     ack_state_t *ack = find_or_add_ack_state(peers, frame->address);
-    ack->heard = frame->number;
-    bool is_new_ack = frame->heard > ack->acknowledged && frame->heard <= ack->sent;
+    ack->last_received = frame->number;
+    bool is_new_ack = frame->heard > ack->last_acknowledged && frame->heard <= ack->last_sent;
     if (is_new_ack) {
-        ts_contact_note_reply(peers->contact, frame->address, now_us); // both directions work
+        ts_contact_note_ack(peers->contact, frame->address, now_us); // both directions work
         ts_peers_update_home_eligibility(peers);
-        ack->acknowledged = frame->heard;
-        ack->unacknowledged_us = frame->heard == ack->sent ? 0 : now_us;
+        ack->last_acknowledged = frame->heard;
+        ack->unacknowledged_us = frame->heard == ack->last_sent ? 0 : now_us;
         ack->requested_us = 0;
     }
     return frame->wants_echo;
@@ -86,7 +88,7 @@
 
 uint32_t ts_peers_frames_sent(ts_peers_t *peers, const char *address)
 {
-    return find_or_add_ack_state(peers, address)->sent;
+    return find_or_add_ack_state(peers, address)->last_sent;
 }
 
 void ts_peers_send_ack(ts_peers_t *peers, const char *address)
--- a/src/peers/peers_evidence.c
+++ b/src/peers/peers_evidence.c
@@ -16,18 +16,21 @@
 
 /* Counts are batched for this long before they are sent one level up. */
 #define BATCH_MS 50
-/* Interval at which unchanged sums are repeated, well within their half-life. */
+/* Minimum interval at which unchanged sums of an anomalous backend are repeated while new counts
+ * arrive; well within their half-life. */
 #define REPEAT_INTERVAL_US (400 * TS_US_PER_MS)
 /* Minimum change, against the sums sent last, for sending again before that interval. */
 #define FAILURE_RATE_CHANGE 0.1
 #define LATENCY_RATIO_CHANGE 1.2
 /*
  * If at least this many backends, and more than this share of those that answered since the last
- * batch, are anomalous at once, the cause is more likely this node or its network link.
+ * batch, are anomalous at once, the cause is more likely this node or its network link, and their
+ * counts are discarded.
  */
 #define LOCAL_FAULT_MIN_BACKENDS 6U
 #define LOCAL_FAULT_MIN_SHARE 0.5
-/* Limits on the contribution of a single row, so that no node outweighs the others. */
+/* Limits of the answers in a row and of their mean of ln(time / typical time), so that no single
+ * node outweighs the others. */
 #define ROW_ANSWERS_MAX 64.0F
 #define ROW_LOG_RATIO_MAX 3.0F
 /* A sequence number behind by less than this is stale, by more is that of a restarted node. */
--- a/src/peers/peers_internal.h
+++ b/src/peers/peers_internal.h
@@ -26,24 +26,24 @@
      * node at index i begin at TREE_CHILDREN * i + 1.
      */
     GPtrArray *zone_order;
-    guint own_index;                     /* index of this node in `zone_order` */
-    ts_time_us_t beacon_confirmed_us;    /* confirmation time in the last beacon sent */
-    ts_store_position_t beacon_position; /* position in that beacon */
+    guint own_index;                          /* index of this node in `zone_order` */
+    ts_time_us_t sent_beacon_confirmed_us;    /* confirmation time in the last beacon sent */
+    ts_store_position_t sent_beacon_position; /* position in that beacon */
     unsigned ticks;
-    bool is_mute;                  /**< see ts_peers_set_mute */
-    ts_time_us_t pulled_us;        /* when the outstanding pull was sent; 0: none is outstanding */
-    ts_store_position_t announced; /**< newest position announced by a peer */
-    char *announcer;               /**< address of that peer; NULL: none yet */
-    uint64_t announced_version;    /* newest configuration version announced by gossip */
-    ts_time_us_t announced_version_us; /* when it was first announced */
-    ts_time_us_t random_pull_us;       /* when a random peer was last sent a pull */
-    unsigned random_pulls;             /* number of these pulls */
+    bool is_mute;           /**< see ts_peers_set_mute */
+    ts_time_us_t pulled_us; /* when the outstanding pull was sent; 0: none is outstanding */
+    ts_store_position_t announced_position; /**< newest position announced by a peer */
+    char *announcer;                        /**< address of that peer; NULL: none yet */
+    uint64_t announced_version;             /* newest configuration version announced by gossip */
+    ts_time_us_t announced_version_us;      /* when it was first announced */
+    ts_time_us_t random_pull_us;            /* when a random peer was last sent a pull */
+    unsigned random_pulls;                  /* number of these pulls */
     /* Evidence about backends; see peers_evidence.c. */
     GPtrArray *zone_heads;     /* of ts_view_member_t in the view: first live member of each zone */
     const char *collector;     /* address of the zone head that aggregates all counts; NULL: none */
     bool is_collector;         /* this node is the collector */
     uv_timer_t evidence_timer; /* runs while evidence waits to be sent */
-    ts_time_us_t evidence_us;  /* when the timer last fired */
+    ts_time_us_t evidence_us;  /* when the timer last fired; 0: never */
     uint32_t evidence_sequence; /* of the last evidence frame sent by this node */
     GHashTable *evidence_seen;  /* name of a node -> last sequence received from it */
     GHashTable *acks;           /* address -> acknowledgement state, owned; see peers_echo.c */
@@ -66,7 +66,7 @@
 const char *ts_peers_parent(const ts_peers_t *peers);
 /** Order of members within a zone: live ones first, then by rendezvous weight. */
 gint ts_peers_compare_members(gconstpointer left, gconstpointer right);
-/** Whether this node follows the configuration service for its zone. */
+/** Whether this node watches the configuration service for its zone. */
 bool ts_peers_is_watcher(const ts_peers_t *peers);
 
 // -- peers_store.c: distribution of changes from the configuration service
@@ -75,10 +75,10 @@
 void ts_peers_handle_beacon(ts_peers_t *peers, const TsPeer__Frame *frame);
 void ts_peers_handle_pull(ts_peers_t *peers, const TsPeer__Frame *frame);
 void ts_peers_handle_changes(ts_peers_t *peers, const TsPeer__Changes *changes);
-/** Handles a configuration version announced by a peer's gossip; see ANNOUNCED_DELAY_US. */
+/** Handles a configuration version announced by a peer's gossip; see CROSS_ZONE_PULL_DELAY_US. */
 void ts_peers_handle_config_version(void *context, const char *name, const char *address,
                                     uint64_t version, uint64_t digest);
-/** Whether this node has no entries although the service had time to respond. */
+/** Whether this node has no entries although the configuration service had time to respond. */
 bool ts_peers_needs_bootstrap(const ts_peers_t *peers);
 
 // -- peers_sightings.c
@@ -115,7 +115,7 @@
 void ts_peers_update_homes(ts_peers_t *peers);
 /** Notifies the limiter when this node becomes able or unable to be home of accounts. */
 void ts_peers_update_home_eligibility(ts_peers_t *peers);
-/** On each tick: probes silent zones, as a home must be in contact with a majority. */
+/** On each tick, if there are tenants: probes silent zones and updates the eligibility as home. */
 void ts_peers_probe_silent_zones(ts_peers_t *peers);
 
 // -- peers_quarantine.c
--- a/src/peers/peers_loans.c
+++ b/src/peers/peers_loans.c
@@ -3,9 +3,11 @@
 #include "tealspar/counters.h"
 #include "tealspar/mechanism.h"
 
-/* Nodes asked at once, minimum interval between requests, and retries or hedges lent per reply. */
+/* Number of nodes that a loan is requested from at once. */
 #define LOAN_FANOUT 2U
+/* Minimum interval between the requests of a service. */
 #define LOAN_INTERVAL_US (20 * TS_US_PER_MS)
+/* Maximum number of sends (retries or hedges) lent per request. */
 #define LOAN_GRANT_MAX 2U
 
 static void send_loan(ts_peers_t *peers, const char *address, const char *service, uint32_t granted)
--- a/src/peers/peers_rates.c
+++ b/src/peers/peers_rates.c
@@ -11,14 +11,14 @@
  * home; afterwards a majority of the largest view so far is sufficient.
  */
 #define STARTUP_US (2 * TS_US_PER_S)
-/* After this time a smaller view is taken as the new size of the fleet. */
+/* Once the view has been below its largest size for this long, its size counts as the fleet's. */
 #define SHRINK_CONFIRM_US (60 * TS_US_PER_S)
 
 /* Rates are sent in thousandths. */
 #define MILLI 1000.0
 
 /* Whether the view holds a majority of the fleet, so that nodes agree on the home. */
-static bool is_in_majority(const ts_peers_t *peers)
+static bool has_majority_view(const ts_peers_t *peers)
 {
     const ts_gateway_t *gateway = peers->gateway;
     bool is_starting = ts_clock_now_us() - gateway->opened_us < STARTUP_US;
@@ -53,10 +53,10 @@
 /* Whether this node may be home of any account. */
 static bool can_be_home(const ts_peers_t *peers)
 {
-    return is_in_majority(peers) && ts_contact_has_majority(peers->contact, ts_clock_now_us());
+    return has_majority_view(peers) && ts_contact_has_majority(peers->contact, ts_clock_now_us());
 }
 
-static ts_rate_dealer_t issuer_of(const ts_view_member_t *member, const char **address)
+static ts_rate_dealer_t resolve_issuer(const ts_view_member_t *member, const char **address)
 {
     *address = member->address;
     return member->is_self ? TS_RATE_DEALER_SELF : TS_RATE_DEALER_PEER;
@@ -66,11 +66,11 @@
                                          const char **address)
 {
     const ts_view_member_t *home = find_highest_weight(peers, account, NULL);
-    bool is_certain = home != NULL && is_in_majority(peers);
+    bool is_certain = home != NULL && has_majority_view(peers);
     if (is_certain && home->is_self)
         is_certain =
             !peers->is_home_ineligible && can_be_home(peers); // after notifying the limiter
-    return is_certain ? issuer_of(home, address) : TS_RATE_DEALER_NONE;
+    return is_certain ? resolve_issuer(home, address) : TS_RATE_DEALER_NONE;
 }
 
 ts_rate_dealer_t ts_peers_find_rate_deputy(const ts_peers_t *peers, const char *account,
@@ -78,13 +78,13 @@
 {
     const char *zone = peers->gateway->settings->zone;
     const ts_view_member_t *home = find_highest_weight(peers, account, NULL);
-    bool is_in_zone = home != NULL && strcmp(home->zone, zone) == 0 && is_in_majority(peers);
+    bool is_in_zone = home != NULL && strcmp(home->zone, zone) == 0 && has_majority_view(peers);
     const ts_view_member_t *deputy = is_in_zone ? home : find_highest_weight(peers, account, zone);
-    return deputy == NULL ? TS_RATE_DEALER_SELF : issuer_of(deputy, address);
+    return deputy == NULL ? TS_RATE_DEALER_SELF : resolve_issuer(deputy, address);
 }
 
 /* Digest of the live members, which determine the homes. */
-static uint64_t digest_live(const ts_view_t *view)
+static uint64_t compute_live_digest(const ts_view_t *view)
 {
     uint64_t digest = 0;
     for (size_t i = 0; i < view->count; i++)
@@ -104,7 +104,7 @@
     }
     ts_contact_set_view(peers->contact, peers->view);
     size_t live = ts_membership_count(peers->membership, TS_MEMBER_LIVE);
-    uint64_t digest = digest_live(peers->view);
+    uint64_t digest = compute_live_digest(peers->view);
     peers->is_home_ineligible = !can_be_home(peers);
     if (digest != peers->live_digest)
         ts_rate_limiter_change_view(peers->gateway->limiter, live < peers->members_live, now_us);
--- a/src/peers/peers_sightings.c
+++ b/src/peers/peers_sightings.c
@@ -63,7 +63,7 @@
     }
 }
 
-void ts_peers_broadcast_sighting(ts_peers_t *peers, ts_instance_key_t key, ts_sighting_t sighting)
+void ts_peers_share_sighting(ts_peers_t *peers, ts_instance_key_t key, ts_sighting_t sighting)
 {
     TsPeer__Sighting row = TS_PEER__SIGHTING__INIT;
     row.instance = (char *)key.id;
--- a/src/peers/peers_store.c
+++ b/src/peers/peers_store.c
@@ -1,28 +1,33 @@
-/** Distribution of configuration changes from the zone's watcher to the other nodes. */
+/** Distribution of changes in the configuration service from the zone's watcher to other nodes. */
 #include <string.h>
 
 #include "peers_internal.h"
 #include "tealspar/counters.h"
 
-/* If the last confirmation is older than this, a node follows the service itself. */
+/* If its position was last confirmed as the newest longer ago than this, a node watches the
+ * configuration service itself. */
 #define CONFIRMED_MAX_US (1500 * TS_US_PER_MS)
-/* Time after which an unanswered pull is repeated. */
+/* While a pull is outstanding, pull_from sends no other one for this long. */
 #define PULL_TIMEOUT_US (300 * TS_US_PER_MS)
 /*
  * A newer version announced by a node of another zone usually arrives from this zone's watcher. It
  * is pulled from the other zone, as a whole document over an expensive link, only if it has not
  * arrived after this time.
  */
-#define ANNOUNCED_DELAY_US (500 * TS_US_PER_MS)
-/* Interval of pulls from random peers, and the time the service first has to respond. */
+#define CROSS_ZONE_PULL_DELAY_US (500 * TS_US_PER_MS)
+/* Minimum interval of pulls from random peers, which are sent while this node has no entries or the
+ * configuration service fails. */
 #define RANDOM_PULL_INTERVAL_US (500 * TS_US_PER_MS)
-#define RANDOM_PULL_AFTER_US (400 * TS_US_PER_MS)
-/* Precedes every position of the service. */
+/* Time after start that the configuration service has to respond before an empty node pulls from
+ * peers. */
+#define BOOTSTRAP_DELAY_US (400 * TS_US_PER_MS)
+/* Precedes every position of the configuration service. */
 static const ts_store_position_t position_zero = {0, 0};
-/* Minimum advance of the confirmation time for forwarding a beacon without new changes. */
+/* Minimum advance of the confirmation time for sending a beacon without new changes. */
 #define BEACON_MIN_ADVANCE_US (100 * TS_US_PER_MS)
 
-static uint32_t age_ms(const ts_peers_t *peers)
+/* UINT32_MAX: never confirmed, or longer ago than it can hold. */
+static uint32_t confirmation_age_ms(const ts_peers_t *peers)
 {
     ts_time_us_t confirmed_us = ts_store_mirror_confirmed_us(peers->mirror);
     ts_time_us_t age_us = confirmed_us == 0 ? 0 : ts_clock_now_us() - confirmed_us;
@@ -37,10 +42,10 @@
     ts_store_position_t position = ts_store_mirror_position(peers->mirror);
     beacon.epoch = position.epoch;
     beacon.revision = position.revision;
-    beacon.age_ms = age_ms(peers);
+    beacon.age_ms = confirmation_age_ms(peers);
     frame.beacon = &beacon;
-    peers->beacon_confirmed_us = ts_store_mirror_confirmed_us(peers->mirror);
-    peers->beacon_position = position;
+    peers->sent_beacon_confirmed_us = ts_store_mirror_confirmed_us(peers->mirror);
+    peers->sent_beacon_position = position;
     ts_peers_send_to_children(peers, &frame);
 }
 
@@ -58,7 +63,7 @@
 static void pull_remaining(ts_peers_t *peers)
 {
     ts_store_position_t own = ts_store_mirror_position(peers->mirror);
-    bool is_behind = ts_store_position_compare(peers->announced, own) > 0;
+    bool is_behind = ts_store_position_compare(peers->announced_position, own) > 0;
     if (!is_behind || peers->announcer == NULL)
         return;
     peers->pulled_us = ts_clock_now_us();
@@ -67,9 +72,9 @@
 
 static void note_announced(ts_peers_t *peers, const char *address, ts_store_position_t position)
 {
-    if (ts_store_position_compare(position, peers->announced) <= 0)
+    if (ts_store_position_compare(position, peers->announced_position) <= 0)
         return;
-    peers->announced = position;
+    peers->announced_position = position;
     g_free(peers->announcer);
     peers->announcer = g_strdup(address);
 }
@@ -97,7 +102,7 @@
     changes.epoch = position.epoch;
     changes.revision = position.revision;
     changes.epoch_base = ts_store_mirror_base(peers->mirror);
-    changes.age_ms = age_ms(peers);
+    changes.age_ms = confirmation_age_ms(peers);
     changes.is_whole = is_whole;
     changes.entries = pointers;
     changes.n_entries = list->len;
@@ -109,10 +114,10 @@
 }
 
 /* Converts the age of a confirmation to a time on this node's clock. */
-static ts_time_us_t confirmation_time(uint32_t age)
+static ts_time_us_t confirmation_time(uint32_t age_ms)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    ts_time_us_t age_us = (ts_time_us_t)age * TS_US_PER_MS;
+    ts_time_us_t age_us = (ts_time_us_t)age_ms * TS_US_PER_MS;
     return age_us < now_us ? now_us - age_us : 0;
 }
 
@@ -130,16 +135,16 @@
 bool ts_peers_needs_bootstrap(const ts_peers_t *peers)
 {
     return ts_store_mirror_is_empty(peers->mirror) &&
-           ts_clock_now_us() - peers->gateway->opened_us > RANDOM_PULL_AFTER_US;
+           ts_clock_now_us() - peers->gateway->opened_us > BOOTSTRAP_DELAY_US;
 }
 
 /* Sends a beacon to this node's children if there is something new since the last one. */
-static void forward_beacon(ts_peers_t *peers)
+static void send_beacon_if_advanced(ts_peers_t *peers)
 {
     ts_time_us_t confirmed_us = ts_store_mirror_confirmed_us(peers->mirror);
     ts_store_position_t position = ts_store_mirror_position(peers->mirror);
-    bool is_new = ts_store_position_compare(position, peers->beacon_position) > 0 ||
-                  confirmed_us > peers->beacon_confirmed_us + BEACON_MIN_ADVANCE_US;
+    bool is_new = ts_store_position_compare(position, peers->sent_beacon_position) > 0 ||
+                  confirmed_us > peers->sent_beacon_confirmed_us + BEACON_MIN_ADVANCE_US;
     if (is_new && !ts_peers_is_watcher(peers)) {
         ts_peers_send_beacon(peers);
     }
@@ -148,18 +153,18 @@
 void ts_peers_handle_beacon(ts_peers_t *peers, const TsPeer__Frame *frame)
 {
     ts_store_position_t own = ts_store_mirror_position(peers->mirror);
-    ts_store_position_t announced_position = {frame->beacon->epoch, frame->beacon->revision};
-    int order = ts_store_position_compare(announced_position, own);
+    ts_store_position_t position = {frame->beacon->epoch, frame->beacon->revision};
+    int order = ts_store_position_compare(position, own);
     if (!ts_store_mirror_is_primed(peers->mirror)) {
         if (ts_peers_needs_bootstrap(peers)) {
             pull_from(peers, frame->address, position_zero);
         }
     } else if (order > 0) {
-        note_announced(peers, frame->address, announced_position);
+        note_announced(peers, frame->address, position);
         pull_from(peers, frame->address, own);
     } else if (order == 0) {
         ts_store_mirror_confirm(peers->mirror, confirmation_time(frame->beacon->age_ms));
-        forward_beacon(peers);
+        send_beacon_if_advanced(peers);
     }
 }
 
@@ -211,19 +216,22 @@
     peers->pulled_us = 0;
     if (ts_store_position_compare(list.position, before) > 0)
         pull_remaining(peers);
-    forward_beacon(peers);
+    send_beacon_if_advanced(peers);
     g_ptr_array_unref(entries);
 }
 
-/* Whether a version was announced so long ago that the zone's watcher must have missed it. */
-static bool is_overdue(ts_peers_t *peers, uint64_t version)
+/*
+ * Records the newest announced version. Returns whether it was first announced so long ago that the
+ * zone's watcher should have delivered it.
+ */
+static bool note_announced_version(ts_peers_t *peers, uint64_t version)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     if (version > peers->announced_version) {
         peers->announced_version = version;
         peers->announced_version_us = now_us;
     }
-    return now_us - peers->announced_version_us > ANNOUNCED_DELAY_US;
+    return now_us - peers->announced_version_us > CROSS_ZONE_PULL_DELAY_US;
 }
 
 void ts_peers_handle_config_version(void *context, const char *name, const char *address,
@@ -235,12 +243,12 @@
     if (traffic != NULL && version <= traffic->version)
         return;
     bool is_same_zone = ts_peers_distance(peers, address) == TS_DISTANCE_ZONE;
-    if (!is_primed || is_same_zone || is_overdue(peers, version))
+    if (!is_primed || is_same_zone || note_announced_version(peers, version))
         pull_from(peers, address,
                   is_primed ? ts_store_mirror_position(peers->mirror) : position_zero);
 }
 
-/* -- Following the service -------------------------------------------------------------------- */
+/* -- Watcher role and pulls from random peers -------------------------------------------------- */
 
 bool ts_peers_has_followers(const ts_peers_t *peers)
 {
@@ -287,7 +295,7 @@
     return NULL;
 }
 
-void ts_peers_pull_from_random(ts_peers_t *peers)
+void ts_peers_pull_from_random_peer(ts_peers_t *peers)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     if (now_us - peers->random_pull_us < RANDOM_PULL_INTERVAL_US) {
--- a/src/registry/instance_fate.c
+++ b/src/registry/instance_fate.c
@@ -5,7 +5,8 @@
 #include "tealspar/log.h"
 #include "tealspar/registry.h"
 
-/* An instance that neither accepts nor refuses connections for this long counts as ended. */
+/* An instance that has neither accepted nor refused a connection this long after the break counts
+ * as ended. */
 #define LIVENESS_TIMEOUT_US TS_US_PER_S
 
 void ts_instance_note_connected(ts_instance_t *instance, ts_time_us_t begun_us)
--- a/src/registry/instance_health.c
+++ b/src/registry/instance_health.c
@@ -8,6 +8,7 @@
 
 /* A node that sends an instance more requests/s than this does not report its suspicions. */
 #define REPORT_RATE_MAX 40.0
+/* Half-life of `sent_rate`, and the addition per request. */
 #define RATE_HALF_LIFE_US ((double)TS_US_PER_S)
 #define RATE_STEP 0.693 /* ln 2 per half-life: at a constant rate the average converges to it */
 /* A peer's suspicion is ignored if this node got an answer less than this ago. */
@@ -31,16 +32,18 @@
 #define QUEUE_FULL_RATIO 1.5
 /* How long an answer in normal time is taken as a sign that the instance's queue is not full. */
 #define NORMAL_ANSWER_VALID_US (1000 * TS_US_PER_MS)
-/* Pauses without requests to an instance: after failures, doubling up to the maximum, and after a
- * refusal. */
+/* Time without requests to an instance after a failure; doubles with each consecutive one. */
 #define AVOID_FIRST_US (300 * TS_US_PER_MS)
 #define AVOID_MAX_US (2 * TS_US_PER_S)
+/* The same after a refused request or a rejected connection. */
 #define AVOID_REFUSED_US (60 * TS_US_PER_MS)
 /* Counts without an anomalous answer are discarded from the outbox after this time. */
 #define OUTBOX_RETENTION_US TS_US_PER_S
 /* A reset after a shorter idle time than this is not attributed to an idle timeout. */
 #define IDLE_RESET_MIN_US (100 * TS_US_PER_MS)
+/* Share of the idle time before a reset up to which connections are still reused. */
 #define IDLE_RESET_SAFETY_FACTOR 0.7
+/* Time since the last such reset after which the learned limit expires. */
 #define IDLE_MAX_VALID_US (10 * TS_US_PER_S)
 
 static void lower_limit(ts_instance_t *instance, double factor, ts_time_us_t now_us)
--- a/src/registry/registry.c
+++ b/src/registry/registry.c
@@ -9,14 +9,15 @@
 #include "tealspar/log.h"
 #include "tealspar/mechanism.h"
 
-/* Time after which a delisted instance without references is freed. */
+/* An instance that is not listed and has no references is freed this long after it was delisted or,
+ * if earlier, began to drain. */
 #define RETENTION_US (10 * TS_US_PER_S)
-/* Maximum length of an id, which is sent in a header field of each request. */
+/* Maximum length of an id in bytes; it is sent in a header field of each request. */
 #define ID_LENGTH_MAX 256U
 
 struct ts_registry {
-    char *zone;
-    GHashTable *zones;
+    char *zone;            /**< this node's zone */
+    GHashTable *zones;     /**< zone -> region, not owned; may be NULL */
     GHashTable *services;  /**< name -> ts_service_t, owned */
     GHashTable *instances; /**< id -> ts_instance_t of the current incarnation, owned */
     GPtrArray *retired;    /**< of ts_instance_t, owned: replaced by a later incarnation */
@@ -24,9 +25,9 @@
     GHashTable *evacuated; /**< set of zones that are being evacuated */
     double rtt_min_us;
     double rtt_max_us;
-    ts_registry_sighting_t on_sighting;
+    ts_registry_sighting_cb_t on_sighting;
     void *on_sighting_ctx;
-    ts_registry_evidence_t on_evidence;
+    ts_registry_evidence_cb_t on_evidence;
     void *on_evidence_ctx;
 };
 
@@ -110,10 +111,10 @@
         return TS_DISTANCE_ZONE;
     }
     /* Looked up each time, as a reload of the settings replaces the strings in the table. */
-    const char *own = find_region(registry, registry->zone);
+    const char *own_region = find_region(registry, registry->zone);
     const char *region = find_region(registry, zone);
-    bool is_near = region != NULL && own != NULL && strcmp(region, own) == 0;
-    return is_near ? TS_DISTANCE_REGION : TS_DISTANCE_FAR;
+    bool is_same_region = region != NULL && own_region != NULL && strcmp(region, own_region) == 0;
+    return is_same_region ? TS_DISTANCE_REGION : TS_DISTANCE_FAR;
 }
 
 /* -- Round-trip times -------------------------------------------------------------------------- */
@@ -146,11 +147,11 @@
 }
 
 void ts_registry_add_rtt_sample(ts_registry_t *registry, const ts_instance_t *instance,
-                                ts_time_us_t span_us)
+                                ts_time_us_t connect_us)
 {
     if (!ts_mechanism_is_on(TS_MECHANISM_TRAVEL))
         return;
-    ts_travel_note(instance->rtt, span_us);
+    ts_travel_note(instance->rtt, connect_us);
     update_rtt_bounds(registry);
 }
 
@@ -211,13 +212,14 @@
         return;
     }
     instance->is_listed = false;
+    /* The drain period of a draining instance continues from its start. */
     if (!instance->is_draining) {
         instance->left_us = now_us;
     }
     log_state(instance, "gone");
 }
 
-static bool is_valid_header_value(const char *text)
+static bool is_valid_id(const char *text)
 {
     size_t length = strlen(text);
     for (size_t i = 0; i < length; i++)
@@ -229,15 +231,15 @@
 ts_error_t ts_registry_validate(const ts_instance_record_t *record)
 {
     struct sockaddr_storage address;
-    if (!is_valid_header_value(record->id) || record->service[0] == '\0' || record->zone[0] == '\0')
+    if (!is_valid_id(record->id) || record->service[0] == '\0' || record->zone[0] == '\0')
         return TS_E_INVALID;
     return ts_address_parse(record->address, &address);
 }
 
 /*
- * Retires an instance that is replaced by a later incarnation: it counts as ended, which decides
- * the outcome of its requests in progress, and is no longer a candidate for new ones, unlike an
- * instance that was only delisted.
+ * Retires an instance that is replaced by a later incarnation. It is marked as ended, so that
+ * ts_instance_liveness reports TS_LIVENESS_ENDED for requests whose connection to it broke. Unlike
+ * an instance that was only delisted, it is no longer a candidate for new requests.
  */
 static void retire_instance(ts_registry_t *registry, ts_instance_t *instance, ts_time_us_t now_us)
 {
@@ -287,7 +289,7 @@
     return is_new;
 }
 
-/* -- Evacuation and placement ------------------------------------------------------------------ */
+/* -- Evacuation and locations ------------------------------------------------------------------ */
 
 bool ts_registry_is_evacuated(const ts_registry_t *registry, const char *zone)
 {
@@ -333,7 +335,7 @@
 
 /* -- Delisting and cleanup --------------------------------------------------------------------- */
 
-void ts_registry_remove(ts_registry_t *registry, const char *id, ts_time_us_t now_us)
+void ts_registry_delist(ts_registry_t *registry, const char *id, ts_time_us_t now_us)
 {
     ts_instance_t *instance = g_hash_table_lookup(registry->instances, id);
     if (instance != NULL) {
@@ -341,7 +343,7 @@
     }
 }
 
-void ts_registry_keep_only(ts_registry_t *registry, GHashTable *ids, ts_time_us_t now_us)
+void ts_registry_delist_all_except(ts_registry_t *registry, GHashTable *ids, ts_time_us_t now_us)
 {
     GHashTableIter iterator;
     gpointer instance = NULL;
@@ -353,7 +355,7 @@
     }
 }
 
-static bool is_unreferenced(const ts_instance_t *instance, ts_time_us_t now_us)
+static bool can_be_freed(const ts_instance_t *instance, ts_time_us_t now_us)
 {
     bool is_unused =
         instance->connections == 0 && instance->in_flight == 0 && instance->references == 0;
@@ -367,13 +369,13 @@
     g_hash_table_iter_init(&iterator, registry->instances);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         ts_instance_t *instance = value;
-        if (!is_unreferenced(instance, now_us))
+        if (!can_be_freed(instance, now_us))
             continue;
         g_ptr_array_remove_fast(instance->service->instances, instance);
         g_hash_table_iter_remove(&iterator);
     }
     for (guint i = registry->retired->len; i > 0; i--) {
-        if (is_unreferenced(g_ptr_array_index(registry->retired, i - 1), now_us))
+        if (can_be_freed(g_ptr_array_index(registry->retired, i - 1), now_us))
             g_ptr_array_remove_index_fast(registry->retired, i - 1);
     }
 }
@@ -394,7 +396,8 @@
     return (ts_instance_key_t){instance->id, instance->born_ms};
 }
 
-void ts_registry_on_sighting(ts_registry_t *registry, ts_registry_sighting_t callback, void *ctx)
+void ts_registry_set_sighting_callback(ts_registry_t *registry, ts_registry_sighting_cb_t callback,
+                                       void *ctx)
 {
     registry->on_sighting = callback;
     registry->on_sighting_ctx = ctx;
@@ -407,7 +410,8 @@
         registry->on_sighting(registry->on_sighting_ctx, instance, sighting);
 }
 
-void ts_registry_on_evidence(ts_registry_t *registry, ts_registry_evidence_t callback, void *ctx)
+void ts_registry_set_evidence_callback(ts_registry_t *registry, ts_registry_evidence_cb_t callback,
+                                       void *ctx)
 {
     registry->on_evidence = callback;
     registry->on_evidence_ctx = ctx;
--- a/tests/peers/test_contact.c
+++ b/tests/peers/test_contact.c
@@ -31,11 +31,11 @@
     return contact;
 }
 
-static void note_replies_from_zones(ts_contact_t *contact, unsigned zones, ts_time_us_t now_us)
+static void note_acks_from_zones(ts_contact_t *contact, unsigned zones, ts_time_us_t now_us)
 {
     for (unsigned i = 0; i < zones; i++) {
         char *address = make_address(ZONES + i);
-        ts_contact_note_reply(contact, address, now_us);
+        ts_contact_note_ack(contact, address, now_us);
         g_free(address);
     }
 }
@@ -44,10 +44,10 @@
 {
     ts_contact_t *contact = open_contact();
     assert_false(ts_contact_has_majority(contact, START_US));
-    note_replies_from_zones(contact, 2, START_US); // two others of its own zone and three of
-                                                   // another one: six including itself, no majority
+    note_acks_from_zones(contact, 2, START_US); // two others of its own zone and three of
+                                                // another one: six including itself, no majority
     assert_false(ts_contact_has_majority(contact, START_US));
-    note_replies_from_zones(contact, 3, START_US);
+    note_acks_from_zones(contact, 3, START_US);
     assert_true(ts_contact_has_majority(contact, START_US));
     assert_true(ts_contact_has_majority(contact, START_US + 1900 * TS_US_PER_MS));
     assert_false(ts_contact_has_majority(contact, START_US + 2 * TS_US_PER_S));
@@ -70,13 +70,14 @@
     return probes;
 }
 
-/* Only silent zones are probed, one node in each, and a different node if it does not respond. */
+/* Only silent zones are probed, one node in each, and a different node if the probe is not
+ * acknowledged. */
 static void test_silent_zones_are_probed(void **state)
 {
     ts_contact_t *contact = open_contact();
-    note_replies_from_zones(contact, 3, START_US);
+    note_acks_from_zones(contact, 3, START_US);
     char *first = g_strdup(ts_contact_next_probe(contact, START_US));
-    assert_non_null(first); // in the zone that never replied
+    assert_non_null(first); // in the zone that never acknowledged
     assert_int_equal(count_probes(contact, START_US), 0);
     assert_int_equal(count_probes(contact, START_US + 300 * TS_US_PER_MS), 0);
     const char *second = ts_contact_next_probe(contact, START_US + 500 * TS_US_PER_MS);
--- a/tests/peers/test_peer_link.c
+++ b/tests/peers/test_peer_link.c
@@ -93,7 +93,7 @@
     ts_peer_link_t *link = ts_peer_link_open(&loop, local, count_hello, remote);
     ts_peer_link_t *other = ts_peer_link_open(&loop, remote, count_hello, NULL);
     assert_non_null(other);
-    ts_peer_link_on_disconnect(link, note_lost);
+    ts_peer_link_set_disconnect_callback(link, note_lost);
     received = 0;
     losses = 0;
     ts_peer_link_send(link, remote, (const uint8_t *)"hello", 5);
--- a/tests/registry/test_lives.c
+++ b/tests/registry/test_lives.c
@@ -81,7 +81,7 @@
     ts_registry_t *registry = ts_registry_create("z1", NULL);
     ts_instance_t *first = update_instance(registry, 1000, "10.0.0.1:80");
     assert_ptr_equal(update_instance(registry, 1000, "10.0.0.2:80"), first);
-    ts_registry_remove(registry, "i-1", NOW_US);
+    ts_registry_delist(registry, "i-1", NOW_US);
     assert_ptr_equal(update_instance(registry, 1000, "10.0.0.1:80"), first); // a late heartbeat
     ts_registry_destroy(registry);
 }
@@ -94,7 +94,7 @@
     ts_instance_t *first = update_instance(registry, 0, "10.0.0.1:80");
     ts_instance_note_ended(first);
     assert_ptr_equal(update_instance(registry, 0, "10.0.0.1:80"), first); // still listed
-    ts_registry_remove(registry, "i-1", NOW_US);
+    ts_registry_delist(registry, "i-1", NOW_US);
     assert_ptr_not_equal(update_instance(registry, 0, "10.0.0.1:80"), first);
     ts_registry_destroy(registry);
 }
--- a/tests/route/test_gateway_decisions.c
+++ b/tests/route/test_gateway_decisions.c
@@ -495,7 +495,7 @@
     ts_registry_t *registry = ts_registry_create("z1", two_regions());
     ts_instance_t *near = add(registry, "near", "z1");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
-    ts_registry_remove(registry, "near", now_us);
+    ts_registry_delist(registry, "near", now_us);
     assert_ptr_equal(choose(registry, now_us + 100 * MS), near); /* the last that is left */
     assert_null(choose(registry, now_us + 2100 * MS));
     ts_registry_sweep(registry, now_us + 11 * TS_US_PER_S);
@@ -508,7 +508,7 @@
     ts_registry_t *registry = ts_registry_create("z1", two_regions());
     ts_instance_t *near = add(registry, "near", "z1");
     near->references = 1;
-    ts_registry_remove(registry, "near", TS_US_PER_S);
+    ts_registry_delist(registry, "near", TS_US_PER_S);
     ts_registry_sweep(registry, 20 * TS_US_PER_S);
     assert_ptr_equal(ts_registry_find_current(registry, "near"), near);
     near->references = 0;
