--- a/src/control/store_watch.c
+++ b/src/control/store_watch.c
@@ -236,7 +236,7 @@
     ts_count(TS_COUNTER_PLATFORM_FAILURES, 1);
     record_failure(watch, reason);
     if (watch->gateway->peers != NULL) {
-        ts_peers_pull_from_random(watch->gateway->peers);
+        ts_peers_pull_from_random_peer(watch->gateway->peers);
     }
     schedule_call(watch, randomize_pause(watch, watch->backoff_ms));
     /* A node without any list cannot serve requests yet, so it retries without backing off. */
--- a/src/edge/gateway.c
+++ b/src/edge/gateway.c
@@ -208,7 +208,7 @@
 static void announce_sighting(void *ctx, const ts_instance_t *instance, ts_sighting_t sighting)
 {
     const ts_gateway_t *gateway = ctx;
-    ts_peers_broadcast_sighting(gateway->peers, ts_instance_key_of(instance), sighting);
+    ts_peers_share_sighting(gateway->peers, ts_instance_key_of(instance), sighting);
 }
 
 /* Maximum number of idle connections to an instance; recomputed when the fleet changes. */
