--- a/tests/gateway/fixture.h
+++ b/tests/gateway/fixture.h
@@ -1,6 +1,7 @@
 /**
- * Test fixture: a gateway, a fake configuration store, fake searchers and raw-socket clients, all
- * on one event loop and connected over 127.0.0.1.
+ * Test fixture: a gateway, a fake configuration store, fake searchers (the gateway's backends) and
+ * raw-socket clients, all on one event loop and connected over 127.0.0.1. Tests with several
+ * gateways call them nodes.
  */
 #ifndef TESTS_GATEWAY_FIXTURE_H
 #define TESTS_GATEWAY_FIXTURE_H
--- a/tests/gateway/test_callers.c
+++ b/tests/gateway/test_callers.c
@@ -58,6 +58,7 @@
     assert_int_equal(searcher->runs, 0);
 }
 
+/* Just above maxHeaderBytes and maxBodyBytes of fixture_put_config. */
 static void test_request_size_limits(void **state)
 {
     lab_searcher_t *searcher = NULL;
@@ -81,6 +82,7 @@
     g_free(large_body);
 }
 
+/* The head is incomplete for 3.6 s; headerTimeoutMs of fixture_put_config is 3000. */
 static void test_slow_request_head_times_out(void **state)
 {
     lab_searcher_t *searcher = NULL;
--- a/tests/gateway/test_churn.c
+++ b/tests/gateway/test_churn.c
@@ -1,7 +1,8 @@
 /**
- * Searchers are added, fail, drain, leave and expire from the registry while requests run, in an
- * order drawn from fixed seeds. Guards against use after free (build with SANITIZE=address),
- * requests that never finish, and a count of active requests that does not return to zero.
+ * Searchers are added, respond wrongly or not at all, drain, leave and expire from the registry
+ * while requests run, with random choices from fixed seeds. Guards against use after free (build
+ * with SANITIZE=address), requests that never finish, and a count of active requests that does not
+ * return to zero.
  */
 #include "fixture.h"
 
@@ -10,8 +11,9 @@
 #define SERVICES 3U
 #define ROUNDS 40
 #define REQUESTS 12
-/* Same as X-Deadline-Ms of the requests: none is active after this time. */
+/* X-Deadline-Ms of the requests: none is active after this time. */
 #define REQUEST_DEADLINE_MS 400
+/* Longer than the 10 s after which the registry forgets removed searchers. */
 #define CLOCK_STEP_US (11 * TS_US_PER_S)
 
 static ts_time_us_t clock_offset_us;
@@ -45,7 +47,11 @@
     g_ptr_array_add(churn->searchers, searcher);
 }
 
-static void remove_searcher(churn_t *churn)
+/*
+ * Removes a random searcher from the store, in half of the cases after its draining state, and adds
+ * another. The removed one leaves further requests unanswered.
+ */
+static void replace_searcher(churn_t *churn)
 {
     guint index = (guint)g_rand_int_range(churn->random, 0, (gint32)churn->searchers->len);
     lab_searcher_t *searcher = g_ptr_array_index(churn->searchers, index);
@@ -60,18 +66,20 @@
     add_searcher(churn, (unsigned)g_rand_int(churn->random));
 }
 
+/* Two thirds of the searchers respond normally, the others get any behaviour, including that. */
 static void randomize_behaviour(churn_t *churn)
 {
     for (guint i = 0; i < churn->searchers->len; i++) {
         lab_searcher_t *searcher = g_ptr_array_index(churn->searchers, i);
-        bool is_healthy = g_rand_int_range(churn->random, 0, 3) > 0;
+        bool is_default = g_rand_int_range(churn->random, 0, 3) > 0;
         searcher->behaviour =
-            is_healthy ? LAB_ANSWERS
+            is_default ? LAB_ANSWERS
                        : (lab_behaviour_t)g_rand_int_range(churn->random, 0, LAB_CLOSES_AFTER + 1);
         searcher->delay_ms = (unsigned)g_rand_int_range(churn->random, 0, 40);
     }
 }
 
+/* Alternates between the gather route and the service route. */
 static void start_requests(churn_t *churn, client_t **clients)
 {
     for (int i = 0; i < REQUESTS; i++) {
@@ -79,13 +87,13 @@
         clients[i] = client_connect(churn->fixture, churn->fixture->callers_port);
         g_snprintf(text, sizeof(text),
                    "GET /%c/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r%d\r\n"
-                   "X-Deadline-Ms: 400\r\n\r\n",
+                   "X-Deadline-Ms: " G_STRINGIFY(REQUEST_DEADLINE_MS) "\r\n\r\n",
                    i % 2 == 0 ? 'g' : 'p', g_rand_int_range(churn->random, 0, 1000000));
         client_send(clients[i], text);
     }
 }
 
-/* About a quarter of the clients disconnect; the others wait for their responses. */
+/* About a quarter of the clients disconnect early; the others wait for their responses. */
 static void finish_requests(churn_t *churn, client_t **clients)
 {
     fixture_run_ms(churn->fixture, (unsigned)g_rand_int_range(churn->random, 1, 60));
@@ -113,7 +121,7 @@
         randomize_behaviour(&churn);
         start_requests(&churn, clients);
         if (round % 3 == 0) {
-            remove_searcher(&churn);
+            replace_searcher(&churn);
         }
         if (round % 5 == 0) {
             clock_offset_us += CLOCK_STEP_US; /* removed searchers and deadlines expire */
--- a/tests/gateway/test_forwarding.c
+++ b/tests/gateway/test_forwarding.c
@@ -149,6 +149,10 @@
     assert_body(client, "0123456789abcdef");
 }
 
+/*
+ * A surplus response must not be taken for the response to the next request: the connection is not
+ * reused.
+ */
 static void test_surplus_response_is_discarded(void **state)
 {
     lab_searcher_t *searcher = NULL;
@@ -177,6 +181,7 @@
     assert_int_equal(searcher->connections, 1);
 }
 
+/* A connection that the backend closes between requests must not make a request fail. */
 static void test_connection_closed_while_idle(void **state)
 {
     lab_searcher_t *searcher = NULL;
@@ -268,6 +273,7 @@
     assert_int_equal(fixture->gateway.requests, 0);
 }
 
+/* An instance refuses a request meant for another; the request is retried elsewhere. */
 static void test_address_reused_by_another_instance(void **state)
 {
     lab_searcher_t *first = NULL;
@@ -307,7 +313,7 @@
             assert_non_null(ts_http_message_find(&clients[i]->response, "Retry-After"));
         }
     }
-    assert_true(searcher->connections <= 4);
+    assert_true(searcher->connections <= 4); // slots in its entry
     assert_true(answered >= 4);
     assert_int_equal(searcher->runs, answered);
 }
--- a/tests/gateway/test_gathering.c
+++ b/tests/gateway/test_gathering.c
@@ -3,10 +3,11 @@
 
 #include <string.h>
 
+/* Two searchers for each of the services a, b and c. */
 typedef struct shards {
     fixture_t *fixture;
-    lab_searcher_t *near[3];
-    lab_searcher_t *far[3];
+    lab_searcher_t *near[3]; /* in the zone of the gateway */
+    lab_searcher_t *far[3];  /* in another region */
 } shards_t;
 
 /* `settings`: additional YAML lines, or NULL. */
@@ -51,6 +52,7 @@
     return ts_http_message_find(&client->response, "X-Missing-Parts");
 }
 
+/* Records have 16 bytes; the incomplete one at the end of a part is dropped. */
 static void test_top_records_are_merged(void **state)
 {
     shards_t shards = open_shards("0.9");
--- a/tests/gateway/test_peers.c
+++ b/tests/gateway/test_peers.c
@@ -74,8 +74,8 @@
 }
 
 /*
- * The long poll of a watcher is lost in a store that was silent for a while. Its probes must detect
- * that, as the poll itself would time out much later.
+ * The long poll of a watcher is lost in a store that did not answer for a while. Its probes must
+ * detect that, as the poll itself would time out much later.
  */
 static void test_lost_poll_of_a_watcher(void **state)
 {
@@ -120,7 +120,7 @@
     ts_gateway_t *watcher = find_watcher(&fleet);
     ts_peers_t *peers = fleet.nodes[fleet.nodes[0] == watcher ? 1 : 0]->peers;
     char address[32];
-    g_snprintf(address, sizeof(address), "127.0.0.1:%u", fixture_next_port()); /* nobody listens */
+    g_snprintf(address, sizeof(address), "127.0.0.1:%u", fixture_next_port()); /* not in use */
     ts_store_position_t position = ts_store_mirror_position(peers->mirror);
     uint64_t own = position.revision;
     uint64_t epoch = position.epoch;
@@ -156,14 +156,15 @@
     assert_true(peers->pulled_us != 0);
 }
 
+/* A node started while the store does not answer gets configuration and backends from peers. */
 static void test_start_while_store_is_silent(void **state)
 {
     fleet_t fleet = open_fleet();
     lab_store_set_mode(fleet.fixture->store, LAB_STORE_SILENT);
-    ts_gateway_t *late_node = fixture_add_gateway(fleet.fixture, "late", "z2", fixture_next_port(),
-                                                  fleet.ports[0], fleet.fixture->store_port);
+    ts_gateway_t *new_node = fixture_add_gateway(fleet.fixture, "late", "z2", fixture_next_port(),
+                                                 fleet.ports[0], fleet.fixture->store_port);
     ts_time_us_t start_us = ts_clock_now_us();
-    assert_true(fixture_await_synced(fleet.fixture, late_node, 1, 1));
+    assert_true(fixture_await_synced(fleet.fixture, new_node, 1, 1));
     assert_true(ts_clock_now_us() - start_us < 2000 * TS_US_PER_MS);
 }
 
@@ -171,13 +172,13 @@
 static void test_node_without_store_follows_peers(void **state)
 {
     fleet_t fleet = open_fleet();
-    ts_gateway_t *cut_off =
+    ts_gateway_t *without_store =
         fixture_add_gateway(fleet.fixture, "m", "z2", fixture_next_port(), fleet.ports[0], 0);
-    assert_true(fixture_await_synced(fleet.fixture, cut_off, 1, 1));
+    assert_true(fixture_await_synced(fleet.fixture, without_store, 1, 1));
     for (unsigned version = 2; version < 5; version++) {
         ts_time_us_t start_us = ts_clock_now_us();
         fixture_put_config(fleet.fixture, version, ROUTE_A);
-        assert_true(fixture_await_synced(fleet.fixture, cut_off, version, 1));
+        assert_true(fixture_await_synced(fleet.fixture, without_store, version, 1));
         assert_true(ts_clock_now_us() - start_us < 3000 * TS_US_PER_MS);
         fixture_run_ms(fleet.fixture, 700);
     }
@@ -194,8 +195,8 @@
     assert_non_null(find_watcher(&fleet));
 }
 
-/* If the watcher falls silent the other nodes read the store themselves within 3 s. */
-static void test_silent_watcher_is_bypassed(void **state)
+/* If the watcher stops sending the other nodes read the store themselves within 3 s. */
+static void test_watcher_that_stops_sending_is_bypassed(void **state)
 {
     fleet_t fleet = open_fleet();
     ts_gateway_t *watcher = find_watcher(&fleet);
@@ -219,7 +220,7 @@
     ts_time_us_t now_us = ts_clock_now_us();
     ts_instance_note_overdue(own, now_us - 50 * TS_US_PER_MS, now_us);
     fixture_run_ms(fleet.fixture, 100);
-    /* most late responses arrive soon after, so the suspicion is not reported yet */
+    /* not reported yet: most late responses arrive soon after */
     assert_true(remote->suspected_us == 0);
     ts_instance_tell_overdue(own);
     for (int i = 0; i < 100 && remote->suspected_us == 0; i++) {
@@ -254,7 +255,7 @@
 }
 
 /* Waits until the failure rate that a node assumes for the backend exceeds `threshold`. */
-static bool await_failing(const fleet_t *fleet, int node, double threshold)
+static bool await_failure_rate(const fleet_t *fleet, int node, double threshold)
 {
     const ts_instance_t *instance = instance_at(fleet, node);
     for (int i = 0; i < 200; i++) {
@@ -278,7 +279,7 @@
     int sender = find_collector(&fleet) == 1 ? 2 : 1;
     add_failures(&fleet, sender, 6);
     for (int i = 0; i < NODES; i++)
-        assert_true(await_failing(&fleet, i, 0.4));
+        assert_true(await_failure_rate(&fleet, i, 0.4));
 }
 
 /* Outcomes seen by all nodes are added up: failures raise the rate, successes lower it. */
@@ -287,7 +288,7 @@
     fleet_t fleet = open_fleet();
     for (int i = 0; i < NODES; i++)
         add_failures(&fleet, i, 2);
-    assert_true(await_failing(&fleet, 0, 0.65)); // its own 2 failures alone give 0.4
+    assert_true(await_failure_rate(&fleet, 0, 0.65)); // its own 2 failures alone give 0.4
     for (int i = 0; i < 30; i++) {
         for (int node = 0; node < NODES; node++)
             ts_instance_note_verdict(instance_at(&fleet, node), false, ts_clock_now_us());
@@ -307,7 +308,7 @@
     int next = find_collector(&fleet);
     assert_true(next >= 0 && next != collector);
     add_failures(&fleet, collector == 0 ? 1 : 0, 6);
-    assert_true(await_failing(&fleet, collector == 3 ? 2 : 3, 0.4));
+    assert_true(await_failure_rate(&fleet, collector == 3 ? 2 : 3, 0.4));
 }
 
 /* Delivers evidence sums of the incarnation with this birth time. */
@@ -438,7 +439,8 @@
     }
     double share = fleet.nodes[0]->rule.slack_share;
     assert_int_equal(fleet.nodes[0]->nodes, NODES);
-    assert_true(share <= 0.5 * 60.0 / NODES); /* the fleet grew recently */
+    /* half of an even share of retry_slack, as the fleet grew recently */
+    assert_true(share <= 0.5 * 60.0 / NODES);
     fleet.nodes[0]->grown_us -= 60 * TS_US_PER_S;
     ts_gateway_sweep(fleet.nodes[0]);
     assert_true(fleet.nodes[0]->rule.slack_share > share);
@@ -520,7 +522,7 @@
         cmocka_unit_test(test_start_while_store_is_silent),
         cmocka_unit_test(test_node_without_store_follows_peers),
         cmocka_unit_test(test_watcher_is_replaced_after_shutdown),
-        cmocka_unit_test(test_silent_watcher_is_bypassed),
+        cmocka_unit_test(test_watcher_that_stops_sending_is_bypassed),
         cmocka_unit_test(test_suspicion_is_shared_within_zone),
         cmocka_unit_test(test_node_order_at_instances),
         cmocka_unit_test(test_large_zone_is_informed_along_tree),
--- a/tests/gateway/test_quotas.c
+++ b/tests/gateway/test_quotas.c
@@ -7,6 +7,8 @@
 #include "tealspar/peers.h"
 
 #define NODES 4
+/* quota_window_ms of add_node_with_tolerance. */
+#define QUOTA_WINDOW_US (5 * TS_US_PER_S)
 #define ROUTE_A SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500)
 #define TENANTS(rate, burst)                                                                       \
     "{\"name\":\"red\",\"apiKeys\":[\"r\"],\"ratePerS\":" #rate ",\"burst\":" #burst "},"          \
@@ -26,13 +28,16 @@
     return client;
 }
 
-/* Sends requests one after the other, to each port in turn; counts responses with the status. */
-static unsigned count_responses(fixture_t *fixture, const unsigned *ports, unsigned n,
+/*
+ * Sends requests of tenant red one after the other, to each port in turn; counts responses with the
+ * status.
+ */
+static unsigned count_responses(fixture_t *fixture, const unsigned *ports, unsigned port_count,
                                 unsigned requests, unsigned expected_status)
 {
     unsigned count = 0;
     for (unsigned i = 0; i < requests; i++) {
-        client_t *client = send_request(fixture, ports[i % n], "r");
+        client_t *client = send_request(fixture, ports[i % port_count], "r");
         unsigned status = client_await_response(fixture, client);
         count += status == expected_status;
         client_close(client);
@@ -56,12 +61,12 @@
     fixture_t *fixture = open_fixture(NULL, CONFIGURATION(1, TENANTS(2, 3)), &searcher);
     fixture_run_ms(fixture, 2000); // until the token bucket is full
     unsigned served = count_responses(fixture, &fixture->callers_port, 1, 12, 200);
-    assert_true(served >= 3 && served <= 6); // tokens may be added meanwhile
+    assert_true(served >= 3 && served <= 6); // burst 3, and up to 3 tokens added at 2/s meanwhile
     assert_int_equal(searcher->runs, served);
     client_t *client = send_request(fixture, fixture->callers_port, "r");
     assert_int_equal(client_await_response(fixture, client), 429);
     double wait_s = strtod(ts_http_message_find(&client->response, "Retry-After"), NULL);
-    assert_true(wait_s >= 0.1 && wait_s <= 1.0);
+    assert_true(wait_s >= 0.1 && wait_s <= 1.0); // a token is added every 0.5 s
     // tenant without a limit
     assert_int_equal(
         client_await_response(fixture, send_request(fixture, fixture->callers_port, "f")), 200);
@@ -69,7 +74,7 @@
     assert_int_equal(count_responses(fixture, &fixture->callers_port, 1, 1, 200), 1);
 }
 
-/* A request that no backend ran must not count against its tenant's limit. */
+/* A request that no searcher ran must not count against its tenant's limit. */
 static void test_refused_request_returns_its_token(void **state)
 {
     lab_searcher_t *searcher = NULL;
@@ -108,7 +113,7 @@
 /* `zones` 1: all nodes in one zone, without a tolerance; 2: in two zones, with a tolerance. */
 static fleet_t open_fleet_in_zones(const char *configuration, unsigned zones)
 {
-    static const char *const names[] = {"z1", "z2"};
+    static const char *const zone_names[] = {"z1", "z2"};
     fleet_t fleet = {0};
     unsigned peers[NODES];
     fleet.fixture = open_fixture(NULL, configuration, &fleet.searcher);
@@ -121,14 +126,14 @@
                                                  fleet.fixture->store_port);
         else
             fleet.nodes[i] = add_node_with_tolerance(
-                fleet.fixture, name, names[(unsigned)i % zones], peers[i], peers[0]);
+                fleet.fixture, name, zone_names[(unsigned)i % zones], peers[i], peers[0]);
         fleet.callers_ports[i] = (unsigned)atoi(strchr(fleet.nodes[i]->settings->callers, ':') + 1);
     }
     for (int i = 0; i < NODES; i++)
         assert_true(fixture_await_synced(fleet.fixture, fleet.nodes[i], 1, 1));
     for (int i = 0; i < 300 && ts_peers_count(fleet.nodes[NODES - 1]->peers) < NODES; i++)
         fixture_run_ms(fleet.fixture, 10);
-    // until views are stable, nodes are past their start-up period and buckets are full
+    // until each node's list of live peers is stable, start-up periods end and buckets are full
     fixture_run_ms(fleet.fixture, 5000);
     return fleet;
 }
@@ -149,9 +154,9 @@
 {
     const char *address = NULL;
     for (unsigned i = 0; i < NODES; i++) {
-        ts_rate_dealer_t home = ts_peers_rate_home(fleet->nodes[i]->peers, "red", &address);
-        assert_true(home != TS_RATE_DEALER_NONE);
-        if (home == TS_RATE_DEALER_SELF)
+        ts_rate_dealer_t issuer = ts_peers_rate_home(fleet->nodes[i]->peers, "red", &address);
+        assert_true(issuer != TS_RATE_DEALER_NONE);
+        if (issuer == TS_RATE_DEALER_SELF)
             return i;
     }
     fail_msg("no node considers itself the home node of tenant red");
@@ -176,63 +181,67 @@
     assert_int_equal(count_responses(fleet.fixture, fleet.callers_ports, NODES, 8, 200), 8);
 }
 
-/* The home node falls silent: other nodes keep serving and one of them takes over as home. */
+/* The home node stops sending. Another node goes on serving and knows a home again after 4 s. */
 static void test_silent_home(void **state)
 {
     fleet_t fleet = open_fleet(CONFIGURATION(1, TENANTS(20, 10)));
-    unsigned home = find_home(&fleet);
-    unsigned other = (home + 1) % NODES;
+    unsigned home_index = find_home(&fleet);
+    unsigned other = (home_index + 1) % NODES;
     assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 8, 200), 8);
-    ts_peers_set_mute(fleet.nodes[home]->peers, true);
+    ts_peers_set_mute(fleet.nodes[home_index]->peers, true);
     assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 1, 200), 1);
     fixture_run_ms(fleet.fixture, 4000);
     const char *address = NULL;
-    ts_rate_dealer_t now = ts_peers_rate_home(fleet.nodes[other]->peers, "red", &address);
-    assert_true(now != TS_RATE_DEALER_NONE);
+    ts_rate_dealer_t issuer = ts_peers_rate_home(fleet.nodes[other]->peers, "red", &address);
+    assert_true(issuer != TS_RATE_DEALER_NONE);
     assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 6, 200), 6);
 }
 
 /*
- * As test_silent_home, in two zones and with a tolerance. The new home may have taken over only
- * half a second ago, while the silent one is alive, receives everything and may grant the whole
- * rate to itself: the new home therefore grants from the tolerance first.
+ * As test_silent_home, in two zones and with a tolerance. At the end of the 4 s the new home may
+ * have taken over only half a second before. The old one only stopped sending: it is alive,
+ * receives everything and may grant the whole rate to itself, so the new home grants from the
+ * tolerance first.
  */
 static void test_silent_home_in_two_zones(void **state)
 {
     fleet_t fleet = open_fleet_in_two_zones(CONFIGURATION(1, TENANTS(20, 10)));
-    unsigned home = find_home(&fleet);
-    unsigned other = (home + 1) % NODES;
+    unsigned home_index = find_home(&fleet);
+    unsigned other = (home_index + 1) % NODES;
     assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 8, 200), 8);
-    ts_peers_set_mute(fleet.nodes[home]->peers, true);
+    ts_peers_set_mute(fleet.nodes[home_index]->peers, true);
     assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 1, 200), 1);
     fixture_run_ms(fleet.fixture, 4000);
     const char *address = NULL;
-    ts_rate_dealer_t now = ts_peers_rate_home(fleet.nodes[other]->peers, "red", &address);
-    assert_true(now != TS_RATE_DEALER_NONE);
+    ts_rate_dealer_t issuer = ts_peers_rate_home(fleet.nodes[other]->peers, "red", &address);
+    assert_true(issuer != TS_RATE_DEALER_NONE);
     assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 6, 200), 6);
 }
 
-/* Without a tolerance no token may be granted twice: the new home reaches the full rate later. */
+/*
+ * As test_silent_home, after 10 s instead of 4. Without a tolerance no token may be granted twice,
+ * so the new home reaches the full rate later.
+ */
 static void test_silent_home_without_tolerance(void **state)
 {
     fleet_t fleet = open_fleet(CONFIGURATION(1, TENANTS(20, 10)));
-    unsigned home = find_home(&fleet);
-    unsigned other = (home + 1) % NODES;
+    unsigned home_index = find_home(&fleet);
+    unsigned other = (home_index + 1) % NODES;
     assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 8, 200), 8);
-    ts_peers_set_mute(fleet.nodes[home]->peers, true);
+    ts_peers_set_mute(fleet.nodes[home_index]->peers, true);
     assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 1, 200), 1);
     // the loss is detected within 4 s, then the rate grows to the full one within 6 s
     fixture_run_ms(fleet.fixture, 10000);
     assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[other], 1, 6, 200), 6);
 }
 
-/* Largest number of requests in any window of 5 s; `runs`: times at which requests ran. */
+/* Largest number of requests in any QUOTA_WINDOW_US; `runs`: times at which requests ran. */
 static unsigned max_runs_in_window(const GArray *runs)
 {
     unsigned max_runs = 0;
     for (guint i = 0, first = 0; i < runs->len; i++) {
         ts_time_us_t at_us = g_array_index(runs, ts_time_us_t, i);
-        while (at_us - g_array_index(runs, ts_time_us_t, first) >= 5 * TS_US_PER_S)
+        while (at_us - g_array_index(runs, ts_time_us_t, first) >= QUOTA_WINDOW_US)
             first++;
         max_runs = MAX(max_runs, i - first + 1);
     }
@@ -254,49 +263,56 @@
 }
 
 /*
- * A home node whose messages are lost is alive and keeps spending tokens. Together with the node
- * that takes over meanwhile it must stay within the limit and its tolerance.
+ * Peers suspect a home node whose messages are lost, but it is alive and keeps spending tokens.
+ * Together with the node that takes over meanwhile it must stay within the limit plus the
+ * tolerance.
  */
 static void test_suspected_home_keeps_the_limit(void **state)
 {
     fleet_t fleet = open_fleet_in_two_zones(CONFIGURATION(1, TENANTS(20, 20)));
     GArray *runs = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
-    unsigned home = find_home(&fleet);
+    unsigned home_index = find_home(&fleet);
     send_surge(&fleet, runs, 2 * TS_US_PER_S);
     for (int times = 0; times < 2; times++) {
-        ts_peers_set_mute(fleet.nodes[home]->peers, true);
+        ts_peers_set_mute(fleet.nodes[home_index]->peers, true);
         send_surge(&fleet, runs, 3500 * TS_US_PER_MS);
-        ts_peers_set_mute(fleet.nodes[home]->peers, false);
+        ts_peers_set_mute(fleet.nodes[home_index]->peers, false);
         send_surge(&fleet, runs, 2500 * TS_US_PER_MS);
     }
+    // limit: 20/s * 5 s + burst 20 = 120; tolerance: 120 / 4 + 20 = 50
     unsigned max_runs = max_runs_in_window(runs);
     if (max_runs > 170)
         print_error("%u requests ran in a window of 5 s: limit 120, tolerance 50\n", max_runs);
     assert_true(max_runs <= 170);
-    assert_true(runs->len > 20 * 6); // not because too little was served
+    // not merely because too little was served: more than 6 s at the rate of 20/s, of 14 s
+    assert_true(runs->len > 20 * 6);
     g_array_unref(runs);
 }
 
-/* An isolated home stops granting well before other nodes may declare it dead. */
-static void test_isolated_home_stops_granting(void **state)
+/*
+ * A home node that receives nothing stops granting within 2.5 s, well before its peers may declare
+ * it dead and take over.
+ */
+static void test_home_that_receives_nothing_stops_granting(void **state)
 {
     fleet_t fleet = open_fleet_in_two_zones(CONFIGURATION(1, TENANTS(20, 10)));
-    unsigned home = find_home(&fleet);
+    unsigned home_index = find_home(&fleet);
     const char *address = NULL;
-    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[home], 1, 2, 200), 2);
+    assert_int_equal(count_responses(fleet.fixture, &fleet.callers_ports[home_index], 1, 2, 200),
+                     2);
     for (unsigned i = 0; i < NODES; i++)
-        ts_peers_set_mute(fleet.nodes[i]->peers, i != home); // it receives nothing
+        ts_peers_set_mute(fleet.nodes[i]->peers, i != home_index); // it receives nothing
     fixture_run_ms(fleet.fixture, 2500);
-    assert_int_equal(ts_peers_rate_home(fleet.nodes[home]->peers, "red", &address),
+    assert_int_equal(ts_peers_rate_home(fleet.nodes[home_index]->peers, "red", &address),
                      TS_RATE_DEALER_NONE);
     for (unsigned i = 0; i < NODES; i++)
         ts_peers_set_mute(fleet.nodes[i]->peers, false);
     fixture_run_ms(fleet.fixture, 1500);
-    assert_int_equal(ts_peers_rate_home(fleet.nodes[home]->peers, "red", &address),
+    assert_int_equal(ts_peers_rate_home(fleet.nodes[home_index]->peers, "red", &address),
                      TS_RATE_DEALER_SELF);
 }
 
-/* A node that sees less than half of the fleet must not recognize any home node. */
+/* A node that does not see a majority of the fleet must not recognize any home node. */
 static void test_minority_has_no_home(void **state)
 {
     fleet_t fleet = open_fleet(CONFIGURATION(1, TENANTS(20, 10)));
@@ -309,7 +325,7 @@
     assert_int_equal(ts_peers_rate_home(fleet.nodes[0]->peers, "red", &address),
                      TS_RATE_DEALER_NONE);
     unsigned served = count_responses(fleet.fixture, &fleet.callers_ports[0], 1, 12, 200);
-    assert_true(served <= 2); // its leased tokens and the first of its fallback rate
+    assert_true(served <= 2); // tokens it got before, and the first it may spend without a home
 }
 
 int main(void)
@@ -323,7 +339,7 @@
         cmocka_unit_test(test_silent_home_in_two_zones),
         cmocka_unit_test(test_silent_home_without_tolerance),
         cmocka_unit_test(test_suspected_home_keeps_the_limit),
-        cmocka_unit_test(test_isolated_home_stops_granting),
+        cmocka_unit_test(test_home_that_receives_nothing_stops_granting),
         cmocka_unit_test(test_minority_has_no_home),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/gateway/test_store_epochs.c
+++ b/tests/gateway/test_store_epochs.c
@@ -1,4 +1,8 @@
-/** Restores of the store from an older copy, with missing, old or repeatedly changing epochs. */
+/**
+ * How one gateway or two peers handle store epochs: restores from an older copy, and responses or
+ * peer frames with an earlier epoch or none. Guards against applying outdated data, missing changes
+ * after a restore, and polling the store too often.
+ */
 #include "fixture.h"
 
 #include <string.h>
@@ -7,11 +11,14 @@
 #include "tealspar/peers.h"
 
 #define ROUTE_A SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500)
+/* Time within which a gateway applies a change of the store. */
 #define APPLY_MS 3000
-#define CALLS_PER_SECOND_MAX 10
+#define STORE_CALLS_PER_SECOND_MAX 10
+/* Writes before a restore that are lost by it, so that their revisions are reused afterwards. */
 #define LOST_WRITE_COUNT 20
 
-static void put_version(fixture_t *fixture, unsigned version)
+/* Unlike fixture_put_config, does not wait for the gateway. */
+static void put_config_without_waiting(fixture_t *fixture, unsigned version)
 {
     char *text =
         g_strdup_printf("{\"version\":%u,\"routes\":[" ROUTE_A "],\"services\":[]}", version);
@@ -19,7 +26,8 @@
     g_free(text);
 }
 
-static void put_searcher(fixture_t *fixture, const char *id, const char *state)
+/* Writes the entry of a searcher that does not exist. */
+static void put_searcher_entry(fixture_t *fixture, const char *id, const char *state)
 {
     char *key = g_strdup_printf("servers/%s", id);
     char *entry = g_strdup_printf("{\"service\":\"a\",\"address\":\"127.0.0.1:1\",\"zone\":\"z1\","
@@ -30,12 +38,14 @@
     g_free(key);
 }
 
-static void put_unrelated_changes(fixture_t *fixture)
+/* Changes the entry of searcher i-noise. */
+static void put_lost_writes(fixture_t *fixture)
 {
     for (unsigned i = 0; i < LOST_WRITE_COUNT; i++)
-        put_searcher(fixture, "i-noise", i % 2 == 0 ? "draining" : "ready");
+        put_searcher_entry(fixture, "i-noise", i % 2 == 0 ? "draining" : "ready");
 }
 
+/* Fails all calls for 300 ms, then restores the store from the copy taken last. */
 static void restore_store(fixture_t *fixture)
 {
     lab_store_set_mode(fixture->store, LAB_STORE_BUSY);
@@ -61,94 +71,111 @@
     return instance != NULL && instance->is_listed;
 }
 
-static unsigned count_calls_per_second(fixture_t *fixture)
+static unsigned count_store_calls_in_1s(fixture_t *fixture)
 {
     unsigned calls_before = lab_store_calls(fixture->store);
     fixture_run_ms(fixture, 1000);
     return lab_store_calls(fixture->store) - calls_before;
 }
 
+/*
+ * Without epochs the gateway must detect a restore by itself. Lost writes stay effective until the
+ * rewrite window ends; i-late is not written again and is then removed.
+ */
 static void test_restore_of_store_without_epochs(void **state)
 {
     fixture_t *fixture = fixture_open(NULL);
     lab_store_set_epoch(fixture->store, 0);
     fixture_put_config(fixture, 1, ROUTE_A);
     lab_store_take_copy(fixture->store);
-    put_searcher(fixture, "i-late", "ready");
-    put_unrelated_changes(fixture);
+    put_searcher_entry(fixture, "i-late", "ready");
+    put_lost_writes(fixture);
     fixture_put_config(fixture, 2, ROUTE_A);
     restore_store(fixture);
-    assert_true(count_calls_per_second(fixture) <= CALLS_PER_SECOND_MAX);
+    assert_true(count_store_calls_in_1s(fixture) <= STORE_CALLS_PER_SECOND_MAX);
     assert_int_equal(fixture->gateway.traffic->version, 2);
     assert_true(is_listed(&fixture->gateway, "i-late"));
-    put_version(fixture, 9);
+    put_config_without_waiting(fixture, 9);
     assert_true(await_version(fixture, &fixture->gateway, 9));
     fixture_run_ms(fixture, APPLY_MS);
     assert_false(is_listed(&fixture->gateway, "i-late"));
 }
 
+/*
+ * A second restore within the rewrite window of the first. Lost writes stay effective through both;
+ * i-late is written again and stays listed after the window.
+ */
 static void test_two_successive_restores(void **state)
 {
     fixture_t *fixture = fixture_open(NULL);
     fixture_put_config(fixture, 1, ROUTE_A);
     lab_store_take_copy(fixture->store);
-    put_searcher(fixture, "i-late", "ready");
-    put_unrelated_changes(fixture);
+    put_searcher_entry(fixture, "i-late", "ready");
+    put_lost_writes(fixture);
     fixture_put_config(fixture, 3, ROUTE_A);
     restore_store(fixture);
-    put_unrelated_changes(fixture);
+    put_lost_writes(fixture);
     fixture_run_ms(fixture, 700);
     restore_store(fixture);
     fixture_run_ms(fixture, 700);
     assert_int_equal(fixture->gateway.traffic->version, 3);
     assert_true(is_listed(&fixture->gateway, "i-late"));
-    put_version(fixture, 9);
-    put_searcher(fixture, "i-late", "ready");
+    put_config_without_waiting(fixture, 9);
+    put_searcher_entry(fixture, "i-late", "ready");
     assert_true(await_version(fixture, &fixture->gateway, 9));
     fixture_run_ms(fixture, 2 * APPLY_MS);
     assert_true(is_listed(&fixture->gateway, "i-late"));
 }
 
+/*
+ * A second restore while the gateway reads the list after the first one. The change written
+ * afterwards must be applied, and no entry may be missing.
+ */
 static void test_restore_while_list_is_read(void **state)
 {
+    enum { ENTRY_COUNT = 40 };
     fixture_t *fixture = fixture_open(NULL);
     lab_store_set_page(fixture->store, 1);
-    for (int i = 0; i < 40; i++) {
+    for (int i = 0; i < ENTRY_COUNT; i++) {
         char id[16];
         g_snprintf(id, sizeof(id), "i-%d", i);
-        put_searcher(fixture, id, "ready");
+        put_searcher_entry(fixture, id, "ready");
     }
     fixture_put_config(fixture, 1, ROUTE_A);
     lab_store_take_copy(fixture->store);
-    put_unrelated_changes(fixture);
+    put_lost_writes(fixture);
     fixture_put_config(fixture, 2, ROUTE_A);
     restore_store(fixture);
     unsigned calls_before = lab_store_calls(fixture->store);
     for (int i = 0; i < 1000 && lab_store_calls(fixture->store) < calls_before + 5; i++)
         fixture_run_ms(fixture, 1);
-    // the list is still being read
-    assert_true(lab_store_calls(fixture->store) < calls_before + 40);
+    // still reading the list: with one entry per page it takes at least ENTRY_COUNT calls
+    assert_true(lab_store_calls(fixture->store) < calls_before + ENTRY_COUNT);
     lab_store_restore(fixture->store, NULL, NULL);
-    put_version(fixture, 9);
+    put_config_without_waiting(fixture, 9);
     assert_true(await_version(fixture, &fixture->gateway, 9));
-    assert_int_equal(ts_registry_listed(fixture->gateway.registry), 41);
+    // with i-noise, which is kept during the rewrite window
+    assert_int_equal(ts_registry_listed(fixture->gateway.registry), ENTRY_COUNT + 1);
 }
 
-/* Responses with an earlier epoch or none are ignored and must not cause rapid retries. */
+/*
+ * Responses with an earlier epoch, or none (`epoch` 0), are ignored and must not cause rapid
+ * retries.
+ */
 static void check_responses_with_epoch(uint64_t epoch)
 {
     fixture_t *fixture = fixture_open(NULL);
     lab_store_set_epoch(fixture->store, 5);
-    put_searcher(fixture, "i-1", "ready");
+    put_searcher_entry(fixture, "i-1", "ready");
     fixture_put_config(fixture, 1, ROUTE_A);
     lab_store_set_epoch(fixture->store, epoch);
     lab_store_delete(fixture->store, "servers/i-1");
     lab_store_cut_waits(fixture->store);
-    assert_true(count_calls_per_second(fixture) <= CALLS_PER_SECOND_MAX);
-    assert_true(count_calls_per_second(fixture) <= CALLS_PER_SECOND_MAX);
+    assert_true(count_store_calls_in_1s(fixture) <= STORE_CALLS_PER_SECOND_MAX);
+    assert_true(count_store_calls_in_1s(fixture) <= STORE_CALLS_PER_SECOND_MAX);
     assert_true(is_listed(&fixture->gateway, "i-1"));
     lab_store_set_epoch(fixture->store, 5);
-    put_version(fixture, 2);
+    put_config_without_waiting(fixture, 2);
     assert_true(await_version(fixture, &fixture->gateway, 2));
     assert_false(is_listed(&fixture->gateway, "i-1"));
 }
@@ -164,24 +191,27 @@
 }
 
 typedef struct pair {
-    ts_gateway_t *reader;   /* in z1, reads the store */
-    ts_gateway_t *isolated; /* in z2, cannot reach the store */
+    ts_gateway_t *reader;        /* in z1, reads the store */
+    ts_gateway_t *without_store; /* in z2, reaches its peer but not the store */
 } pair_t;
 
 static pair_t open_pair(fixture_t *fixture)
 {
     unsigned reader_port = fixture_next_port();
-    unsigned isolated_port = fixture_next_port();
-    pair_t pair = {.reader = fixture_add_gateway(fixture, "n1", "z1", reader_port, isolated_port,
-                                                 fixture->store_port),
-                   .isolated =
-                       fixture_add_gateway(fixture, "n2", "z2", isolated_port, reader_port, 0)};
+    unsigned port_without_store = fixture_next_port();
+    pair_t pair = {.reader = fixture_add_gateway(fixture, "n1", "z1", reader_port,
+                                                 port_without_store, fixture->store_port),
+                   .without_store = fixture_add_gateway(fixture, "n2", "z2", port_without_store,
+                                                        reader_port, 0)};
     assert_true(await_version(fixture, pair.reader, 1));
-    assert_true(await_version(fixture, pair.isolated, 1));
+    assert_true(await_version(fixture, pair.without_store, 1));
     return pair;
 }
 
-/* Waits longer than APPLY_MS: a node without the store polls its peers only now and then. */
+/*
+ * Waits longer than APPLY_MS: a node that cannot reach the store pulls from a random peer after
+ * each failed call of its own, with pauses of up to 1.5 s in between.
+ */
 static void await_draining(fixture_t *fixture, const ts_gateway_t *gateway, const char *id)
 {
     for (unsigned waited = 0; waited < 2 * APPLY_MS; waited += 20) {
@@ -189,40 +219,40 @@
             return;
         fixture_run_ms(fixture, 20);
     }
-    fail_msg("instance %s is not draining on the node after 2 * APPLY_MS", id);
+    fail_msg("instance %s is not draining after 2 * " G_STRINGIFY(APPLY_MS) " ms", id);
 }
 
-static void test_isolated_node_learns_of_restore_from_peers(void **state)
+static void test_node_without_store_learns_of_restore_from_peers(void **state)
 {
     fixture_t *fixture = fixture_open(NULL);
-    put_searcher(fixture, "i-1", "ready");
+    put_searcher_entry(fixture, "i-1", "ready");
     fixture_put_config(fixture, 1, ROUTE_A);
     pair_t pair = open_pair(fixture);
     lab_store_take_copy(fixture->store);
-    put_unrelated_changes(fixture);
-    put_searcher(fixture, "i-1", "draining");
-    await_draining(fixture, pair.isolated, "i-1");
+    put_lost_writes(fixture);
+    put_searcher_entry(fixture, "i-1", "draining");
+    await_draining(fixture, pair.without_store, "i-1");
     restore_store(fixture);
     fixture_run_ms(fixture, 2000);
-    assert_int_equal(ts_store_mirror_position(pair.isolated->mirror).epoch,
+    assert_int_equal(ts_store_mirror_position(pair.without_store->mirror).epoch,
                      ts_store_mirror_position(pair.reader->mirror).epoch);
-    assert_true(ts_registry_present(pair.isolated->registry, "i-1")->is_draining);
-    put_version(fixture, 9);
-    assert_true(await_version(fixture, pair.isolated, 9));
+    assert_true(ts_registry_present(pair.without_store->registry, "i-1")->is_draining);
+    put_config_without_waiting(fixture, 9);
+    assert_true(await_version(fixture, pair.without_store, 9));
     lab_store_delete(fixture->store, "servers/i-1");
     fixture_run_ms(fixture, APPLY_MS);
-    assert_false(is_listed(pair.isolated, "i-1"));
+    assert_false(is_listed(pair.without_store, "i-1"));
 }
 
 /* Frames without an epoch, as older builds send them, are ignored whatever their revision. */
 static void test_peer_frames_without_epoch_are_ignored(void **state)
 {
     fixture_t *fixture = fixture_open(NULL);
-    put_searcher(fixture, "i-1", "ready");
+    put_searcher_entry(fixture, "i-1", "ready");
     fixture_put_config(fixture, 1, ROUTE_A);
     ts_peers_t *peers = open_pair(fixture).reader->peers;
     char address[32];
-    g_snprintf(address, sizeof(address), "127.0.0.1:%u", fixture_next_port()); // nobody listens
+    g_snprintf(address, sizeof(address), "127.0.0.1:%u", fixture_next_port()); // not in use
     TsPeer__Beacon beacon = TS_PEER__BEACON__INIT;
     TsPeer__Frame frame = TS_PEER__FRAME__INIT;
     beacon.revision = 1000;
@@ -230,7 +260,7 @@
     frame.address = address;
     peers->pulled_us = 0;
     ts_peers_take_beacon(peers, &frame);
-    assert_true(peers->pulled_us == 0);
+    assert_true(peers->pulled_us == 0); // no pull was sent in response
     TsPeer__Changes changes = TS_PEER__CHANGES__INIT;
     changes.revision = 1000;
     changes.is_whole = true;
@@ -247,7 +277,7 @@
         cmocka_unit_test(test_restore_while_list_is_read),
         cmocka_unit_test(test_responses_of_earlier_epoch_are_ignored),
         cmocka_unit_test(test_responses_without_epoch_are_ignored),
-        cmocka_unit_test(test_isolated_node_learns_of_restore_from_peers),
+        cmocka_unit_test(test_node_without_store_learns_of_restore_from_peers),
         cmocka_unit_test(test_peer_frames_without_epoch_are_ignored),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/gateway/test_store_restore.c
+++ b/tests/gateway/test_store_restore.c
@@ -12,9 +12,9 @@
 /* APPLY_MS holds again this long after the store has recovered. */
 #define RECOVERY_MS 5000
 /* Two of the gateways read the store; it can serve more calls than this. */
-#define CALLS_PER_SECOND_MAX 20
+#define STORE_CALLS_PER_SECOND_MAX 20
 #define OUTAGE_MS 1500
-/* Writes after the copy was taken: their revisions are reused after the restore. */
+/* Writes after the copy was taken: a restore loses them and reuses their revisions. */
 #define LOST_WRITE_COUNT 20
 #define STEP_MS 20
 
@@ -55,7 +55,8 @@
     return fleet;
 }
 
-static void put_version(fleet_t *fleet, unsigned version)
+/* Does not wait for the nodes. */
+static void put_config_without_waiting(fleet_t *fleet, unsigned version)
 {
     char *text =
         g_strdup_printf("{\"version\":%u,\"routes\":[" ROUTE_A "],\"services\":[]}", version);
@@ -63,7 +64,8 @@
     g_free(text);
 }
 
-static void put_searcher(fleet_t *fleet, const char *id, const char *state, unsigned born)
+/* Writes the entry of a searcher that does not exist. */
+static void put_searcher_entry(fleet_t *fleet, const char *id, const char *state, unsigned born)
 {
     char *key = g_strdup_printf("servers/%s", id);
     char *entry = g_strdup_printf("{\"service\":\"a\",\"address\":\"127.0.0.1:1\",\"zone\":\"z1\","
@@ -74,13 +76,14 @@
     g_free(key);
 }
 
-/* Writes an entry that no test checks. */
-static void put_unrelated_changes(fleet_t *fleet, unsigned n)
+/* Writes an entry that no test checks, to advance the revision. */
+static void advance_revision(fleet_t *fleet, unsigned n)
 {
     for (unsigned i = 0; i < n; i++)
-        put_searcher(fleet, "i-noise", i % 2 == 0 ? "draining" : "ready", 1);
+        put_searcher_entry(fleet, "i-noise", i % 2 == 0 ? "draining" : "ready", 1);
 }
 
+/* Records the most calls to the store in any of the next seconds. */
 static void measure_calls(fleet_t *fleet, unsigned duration_ms)
 {
     for (unsigned i = 0; i < duration_ms / 1000; i++) {
@@ -91,7 +94,7 @@
     }
 }
 
-static bool is_version_active(const fleet_t *fleet, unsigned version)
+static bool is_version_active_on_all(const fleet_t *fleet, unsigned version)
 {
     bool is_active = true;
     for (int i = 0; i < NODES; i++)
@@ -103,11 +106,12 @@
 static unsigned await_version(fleet_t *fleet, unsigned version, unsigned timeout_ms)
 {
     unsigned waited = 0;
-    for (; waited < timeout_ms && !is_version_active(fleet, version); waited += STEP_MS)
+    for (; waited < timeout_ms && !is_version_active_on_all(fleet, version); waited += STEP_MS)
         fixture_run_ms(fleet->fixture, STEP_MS);
     return waited;
 }
 
+/* Fails all calls for OUTAGE_MS. */
 static void stop_store(fleet_t *fleet)
 {
     lab_store_set_mode(fleet->store, LAB_STORE_BUSY);
@@ -115,6 +119,7 @@
     fixture_run_ms(fleet->fixture, OUTAGE_MS);
 }
 
+/* Restores the store from the copy taken last and ends the outage. */
 static void restore_store(fleet_t *fleet)
 {
     lab_store_restore(fleet->store, NULL, NULL);
@@ -141,25 +146,26 @@
         assert_int_equal(ts_registry_is_evacuated(fleet->nodes[i]->registry, zone), is_evacuated);
 }
 
+/* A change written `delay_ms` after a restore must be applied in time and without many calls. */
 static void check_change_after_restore(unsigned delay_ms)
 {
     fleet_t fleet = open_fleet();
     lab_store_take_copy(fleet.store);
-    put_unrelated_changes(&fleet, LOST_WRITE_COUNT);
-    put_version(&fleet, 2);
+    advance_revision(&fleet, LOST_WRITE_COUNT);
+    put_config_without_waiting(&fleet, 2);
     assert_true(await_version(&fleet, 2, APPLY_MS) < APPLY_MS);
     stop_store(&fleet);
     restore_store(&fleet);
-    put_version(&fleet, 2);
+    put_config_without_waiting(&fleet, 2);
     fixture_run_ms(fleet.fixture, delay_ms);
-    put_version(&fleet, 9);
+    put_config_without_waiting(&fleet, 9);
     unsigned waited = await_version(&fleet, 9, APPLY_MS);
     measure_calls(&fleet, 3000);
     if (waited >= APPLY_MS)
         print_error("version 9 is not active on all nodes after %u ms; up to %u calls per second\n",
                     waited, fleet.max_calls_per_second);
     assert_true(waited < APPLY_MS);
-    assert_true(fleet.max_calls_per_second <= CALLS_PER_SECOND_MAX);
+    assert_true(fleet.max_calls_per_second <= STORE_CALLS_PER_SECOND_MAX);
 }
 
 static void test_change_soon_after_restore_is_applied(void **state)
@@ -176,74 +182,83 @@
 {
     fleet_t fleet = open_fleet();
     lab_store_take_copy(fleet.store);
-    put_unrelated_changes(&fleet, LOST_WRITE_COUNT);
+    advance_revision(&fleet, LOST_WRITE_COUNT);
     fixture_run_ms(fleet.fixture, 2000);
     stop_store(&fleet);
     restore_store(&fleet);
     measure_calls(&fleet, 4000);
-    if (fleet.max_calls_per_second > CALLS_PER_SECOND_MAX)
+    if (fleet.max_calls_per_second > STORE_CALLS_PER_SECOND_MAX)
         print_error("%u calls per second\n", fleet.max_calls_per_second);
-    assert_true(fleet.max_calls_per_second <= CALLS_PER_SECOND_MAX);
+    assert_true(fleet.max_calls_per_second <= STORE_CALLS_PER_SECOND_MAX);
 }
 
-/* The store has reused more revisions than were lost before any node calls it again. */
+/*
+ * Before any node calls the restored store it has reused more revisions than were lost: its
+ * revision is higher than the one the nodes know, which must not hide the change.
+ */
 static void test_change_behind_reused_revisions_is_applied(void **state)
 {
     fleet_t fleet = open_fleet();
     lab_store_take_copy(fleet.store);
-    put_unrelated_changes(&fleet, LOST_WRITE_COUNT);
+    advance_revision(&fleet, LOST_WRITE_COUNT);
     fixture_run_ms(fleet.fixture, 2000);
     lab_store_set_mode(fleet.store, LAB_STORE_SILENT);
     lab_store_restore(fleet.store, NULL, NULL);
-    put_version(&fleet, 9);
-    put_unrelated_changes(&fleet, 2 * LOST_WRITE_COUNT);
+    put_config_without_waiting(&fleet, 9);
+    advance_revision(&fleet, 2 * LOST_WRITE_COUNT);
     lab_store_set_mode(fleet.store, LAB_STORE_NORMAL);
     assert_true(await_version(&fleet, 9, RECOVERY_MS) < RECOVERY_MS);
 }
 
+/* A node that starts after the restore must get the newer configuration from its peers. */
 static void test_older_configuration_of_copy_is_not_applied(void **state)
 {
     fleet_t fleet = open_fleet();
     lab_store_take_copy(fleet.store);
-    put_version(&fleet, 2);
+    put_config_without_waiting(&fleet, 2);
     assert_true(await_version(&fleet, 2, APPLY_MS) < APPLY_MS);
     stop_store(&fleet);
     restore_store(&fleet);
-    ts_gateway_t *late_node = add_node(&fleet, "late", "z1", fixture_next_port());
+    ts_gateway_t *new_node = add_node(&fleet, "late", "z1", fixture_next_port());
     fixture_run_ms(fleet.fixture, APPLY_MS);
-    assert_true(is_version_active(&fleet, 2));
-    assert_int_equal(late_node->traffic->version, 2); // from its peers
-    put_version(&fleet, 3);
+    assert_true(is_version_active_on_all(&fleet, 2));
+    assert_int_equal(new_node->traffic->version, 2); // from its peers
+    put_config_without_waiting(&fleet, 3);
     assert_true(await_version(&fleet, 3, APPLY_MS) < APPLY_MS);
-    assert_true(fixture_await_synced(fleet.fixture, late_node, 3, 3));
+    assert_true(fixture_await_synced(fleet.fixture, new_node, 3, 3));
 }
 
+/*
+ * Backends registered after the copy was taken stay listed in the rewrite window, and beyond it if
+ * they are written again.
+ */
 static void test_backends_missing_in_copy_are_kept_until_rewritten(void **state)
 {
     fleet_t fleet = open_fleet();
     lab_store_take_copy(fleet.store);
-    put_searcher(&fleet, "i-writes", "ready", 1);
-    put_searcher(&fleet, "i-ended", "ready", 1);
+    put_searcher_entry(&fleet, "i-writes", "ready", 1);
+    put_searcher_entry(&fleet, "i-ended", "ready", 1);
     fixture_run_ms(fleet.fixture, 2000);
     stop_store(&fleet);
     restore_store(&fleet);
     fixture_run_ms(fleet.fixture, 1000);
     assert_listed(&fleet, "i-writes", true);
     assert_listed(&fleet, "i-ended", true);
-    put_searcher(&fleet, "i-writes", "ready", 1);
+    put_searcher_entry(&fleet, "i-writes", "ready", 1);
     fixture_run_ms(fleet.fixture, RECOVERY_MS);
     assert_listed(&fleet, "i-writes", true);
     assert_listed(&fleet, "i-ended", false);
     assert_listed(&fleet, "i-1", true);
 }
 
+/* Entries in the copy that were changed or deleted later must not become effective again. */
 static void test_removed_backends_do_not_return_with_copy(void **state)
 {
     fleet_t fleet = open_fleet();
-    put_searcher(&fleet, "i-restarted", "ready", 1);
+    put_searcher_entry(&fleet, "i-restarted", "ready", 1);
     lab_store_take_copy(fleet.store);
-    put_searcher(&fleet, "i-1", "draining", 1);
-    put_searcher(&fleet, "i-restarted", "ready", 2);
+    put_searcher_entry(&fleet, "i-1", "draining", 1);
+    put_searcher_entry(&fleet, "i-restarted", "ready", 2);
     lab_store_delete(fleet.store, "servers/i-2");
     fixture_run_ms(fleet.fixture, 2000);
     assert_draining(&fleet, "i-1");
@@ -254,8 +269,8 @@
     assert_listed(&fleet, "i-2", false);
     for (int i = 0; i < NODES; i++)
         assert_int_equal(ts_registry_present(fleet.nodes[i]->registry, "i-restarted")->born_ms, 2);
-    put_searcher(&fleet, "i-1", "draining", 1);
-    put_searcher(&fleet, "i-restarted", "ready", 2);
+    put_searcher_entry(&fleet, "i-1", "draining", 1);
+    put_searcher_entry(&fleet, "i-restarted", "ready", 2);
     lab_store_delete(fleet.store, "servers/i-2");
     fixture_run_ms(fleet.fixture, RECOVERY_MS);
     assert_draining(&fleet, "i-1");
@@ -264,6 +279,7 @@
         assert_int_equal(ts_registry_present(fleet.nodes[i]->registry, "i-restarted")->born_ms, 2);
 }
 
+/* Evacuations started or ended after the copy was taken stay so in the rewrite window. */
 static void test_evacuations_are_kept_until_rewritten(void **state)
 {
     fleet_t fleet = open_fleet();
--- a/tests/gateway/test_store_watch.c
+++ b/tests/gateway/test_store_watch.c
@@ -34,6 +34,7 @@
     assert_int_equal(ts_registry_listed(fixture->gateway.registry), 1);
 }
 
+/* After a 410, as its revision is older than the history, the gateway must read the list anew. */
 static void test_compacted_history(void **state)
 {
     fixture_t *fixture = fixture_open(NULL);
@@ -81,6 +82,7 @@
     }
 }
 
+/* A store that responds with 429 must not be called rapidly. */
 static void test_throttling_store(void **state)
 {
     fixture_t *fixture = fixture_open(NULL);
@@ -113,7 +115,10 @@
     assert_int_equal(fixture->gateway.traffic->version, 3);
 }
 
-/* A long poll that was lost in a silent store is given up soon after the store has recovered. */
+/*
+ * A long poll that is lost because the store did not answer for a while is given up soon after the
+ * store has recovered.
+ */
 static void test_lost_long_poll(void **state)
 {
     fixture_t *fixture = fixture_open(NULL);
@@ -128,19 +133,19 @@
     assert_int_equal(fixture->gateway.traffic->version, 2);
 }
 
-/* A gateway started while the store is silent gets the configuration soon after it recovers. */
+/* A gateway started while the store does not answer is configured soon after it recovers. */
 static void test_lost_first_list(void **state)
 {
     fixture_t *fixture = fixture_open(NULL);
     fixture_put_config(fixture, 1, ROUTE_A);
     lab_store_set_mode(fixture->store, LAB_STORE_SILENT);
-    ts_gateway_t *late_node = fixture_add_gateway(fixture, "late", "z1", fixture_next_port(),
-                                                  fixture_next_port(), fixture->store_port);
+    ts_gateway_t *new_node = fixture_add_gateway(fixture, "late", "z1", fixture_next_port(),
+                                                 fixture_next_port(), fixture->store_port);
     fixture_run_ms(fixture, 200);
-    assert_null(late_node->traffic);
+    assert_null(new_node->traffic);
     lab_store_set_mode(fixture->store, LAB_STORE_NORMAL);
     fixture_run_ms(fixture, 1500);
-    assert_non_null(late_node->traffic);
+    assert_non_null(new_node->traffic);
 }
 
 static void test_few_calls_without_changes(void **state)
--- a/tests/gateway/test_suspension.c
+++ b/tests/gateway/test_suspension.c
@@ -8,7 +8,9 @@
 
 #include "tealspar/counters.h"
 
+/* Longer than the deadlines of all requests. */
 #define SUSPENDED_S 5
+/* More than the searcher has slots. */
 #define CLIENTS 8U
 #define ROUTE_A SERVICE_ROUTE_JSON("one", "/p/", "idempotent", "a", 1500)
 
--- a/tests/gateway/test_tenants.c
+++ b/tests/gateway/test_tenants.c
@@ -262,14 +262,14 @@
     lab_searcher_t *searcher = NULL;
     fixture_t *fixture = open_fixture(NULL, &searcher);
     unsigned ports[2] = {fixture_next_port(), fixture_next_port()};
-    ts_gateway_t *synced =
+    ts_gateway_t *with_store =
         fixture_add_gateway(fixture, "n0", "z1", ports[0], ports[1], fixture->store_port);
-    ts_gateway_t *isolated = fixture_add_gateway(fixture, "n1", "z1", ports[1], ports[0], 0);
-    assert_true(fixture_await_synced(fixture, synced, 1, 1));
-    assert_true(fixture_await_synced(fixture, isolated, 1, 1));
+    ts_gateway_t *without_store = fixture_add_gateway(fixture, "n1", "z1", ports[1], ports[0], 0);
+    assert_true(fixture_await_synced(fixture, with_store, 1, 1));
+    assert_true(fixture_await_synced(fixture, without_store, 1, 1));
     put_tenants(fixture, 2, TENANT_JSON("red", "\"red-2\""));
-    assert_true(fixture_await_synced(fixture, isolated, 2, 1));
-    unsigned port = (unsigned)atoi(strchr(isolated->settings->callers, ':') + 1);
+    assert_true(fixture_await_synced(fixture, without_store, 2, 1));
+    unsigned port = (unsigned)atoi(strchr(without_store->settings->callers, ':') + 1);
     static const char *const keys[] = {"red-1", "red-2"};
     static const unsigned statuses[] = {401, 200};
     for (size_t i = 0; i < G_N_ELEMENTS(keys); i++) {
