--- a/src/registry/instance_health.c
+++ b/src/registry/instance_health.c
@@ -75,8 +75,8 @@
 void ts_instance_add_to_outbox(ts_instance_t *instance, const ts_evidence_count_t *count,
                                ts_time_us_t now_us)
 {
-    bool is_stale =
-        !instance->outbox.has_anomaly && now_us - instance->outbox_since_us > OUTBOX_RETENTION_US;
+    bool is_stale = !instance->outbox.has_failure_or_slow &&
+                    now_us - instance->outbox_since_us > OUTBOX_RETENTION_US;
     if (is_stale || ts_evidence_count_is_empty(&instance->outbox)) {
         instance->outbox = (ts_evidence_count_t){0};
         instance->outbox_since_us = now_us;
@@ -92,7 +92,7 @@
 {
     ts_evidence_add(&instance->own_evidence, count, now_us);
     instance->own_evidence_us = now_us;
-    if (count->has_anomaly)
+    if (count->has_failure_or_slow)
         instance->own_anomaly_us = now_us;
     if (ts_mechanism_is_on(TS_MECHANISM_MERGED))
         ts_instance_add_to_outbox(instance, count, now_us);
@@ -156,7 +156,7 @@
 bool ts_instance_note_unanswered(ts_instance_t *instance, ts_time_us_t now_us, double span_us,
                                  double typical_us)
 {
-    if (typical_us <= 0 || !ts_evidence_is_outlier(span_us / typical_us))
+    if (typical_us <= 0 || !ts_evidence_is_slow(span_us / typical_us))
         return false; // it may still arrive in time
     add_latency(instance, span_us / typical_us, now_us);
     return true;
