--- a/tests/route/rate_fleet.c
+++ b/tests/route/rate_fleet.c
@@ -1,41 +1,41 @@
-/** A small world of real limiters and messages between them, for tests. */
+/** Simulated fleet of rate limiters for tests. */
 #include "rate_fleet.h"
 
 #include <string.h>
 
 #include "tealspar/hash.h"
 
-// -- What the limiter is given
+// -- Callbacks of the limiter
 
-static bool terms_of(void *ctx, const char *account, ts_rate_params_t *terms)
+static bool get_params(void *ctx, const char *account, ts_rate_params_t *params)
 {
     const node_t *node = ctx;
-    *terms = node->fleet->terms;
+    *params = node->fleet->params;
     return true;
 }
 
-static ts_rate_issuer_t dealer(const node_t *node, unsigned index, const char **address)
+static ts_rate_issuer_t make_issuer(const node_t *node, unsigned index, const char **address)
 {
     const node_t *found = &node->fleet->nodes[index];
     *address = found->address;
     return found == node ? TS_RATE_ISSUER_SELF : TS_RATE_ISSUER_PEER;
 }
 
-// -- Beliefs of each node
+// -- Local views
 
-static bool is_in(const belief_t *belief, ts_time_us_t now_us)
+static bool is_within(const period_t *period, ts_time_us_t now_us)
 {
-    return now_us >= belief->gone_us && now_us < belief->back_us;
+    return now_us >= period->start_us && now_us < period->end_us;
 }
 
-/* The highest that the node takes for live, of a zone or of all (ZONES). */
-static unsigned find_believed(const node_t *node, unsigned zone)
+/* The node with the highest id that `node` doesn't suspect, in a zone or in all (ZONES). */
+static unsigned find_highest_in_view(const node_t *node, unsigned zone)
 {
     const fleet_t *fleet = node->fleet;
-    const belief_t *row = fleet->beliefs + (size_t)(node - fleet->nodes) * fleet->n;
+    const period_t *suspicions = fleet->suspicions + (size_t)(node - fleet->nodes) * fleet->n;
     unsigned best = fleet->n;
     for (unsigned i = 0; i < fleet->n; i++) {
-        if (is_in(&row[i], fleet->now_us) || (zone != ZONES && i % ZONES != zone))
+        if (is_within(&suspicions[i], fleet->now_us) || (zone != ZONES && i % ZONES != zone))
             continue;
         if (best == fleet->n || fleet->nodes[i].id > fleet->nodes[best].id)
             best = i;
@@ -43,64 +43,65 @@
     return best;
 }
 
-static bool believes_majority(const node_t *node)
+static bool sees_majority(const node_t *node)
 {
     const fleet_t *fleet = node->fleet;
-    const belief_t *row = fleet->beliefs + (size_t)(node - fleet->nodes) * fleet->n;
-    unsigned seen = 0;
+    const period_t *suspicions = fleet->suspicions + (size_t)(node - fleet->nodes) * fleet->n;
+    unsigned members = 0;
     for (unsigned i = 0; i < fleet->n; i++)
-        seen += !is_in(&row[i], fleet->now_us) || fleet->now_us - row[i].gone_us < DEAD_US;
-    return 2 * seen > fleet->n;
+        members += !is_within(&suspicions[i], fleet->now_us) ||
+                   fleet->now_us - suspicions[i].start_us < SUSPICION_TIMEOUT_US;
+    return 2 * members > fleet->n;
 }
 
-/* Whether a node can't be home of anything by what it knows. */
-static bool is_out(const node_t *node)
+/* Whether a node knows that it must not act as home. */
+static bool is_out_of_contact(const node_t *node)
 {
-    return !believes_majority(node) || is_in(&node->out, node->fleet->now_us);
+    return !sees_majority(node) || is_within(&node->out_of_contact, node->fleet->now_us);
 }
 
-static ts_rate_issuer_t believed_home(const node_t *node, const char **address)
+static ts_rate_issuer_t find_home_in_view(const node_t *node, const char **address)
 {
     const fleet_t *fleet = node->fleet;
-    const node_t *home = &fleet->nodes[find_believed(node, ZONES)];
-    if (!believes_majority(node) || (home == node && is_out(node)))
+    const node_t *home = &fleet->nodes[find_highest_in_view(node, ZONES)];
+    if (!sees_majority(node) || (home == node && is_out_of_contact(node)))
         return TS_RATE_ISSUER_NONE;
-    return dealer(node, (unsigned)(home - fleet->nodes), address);
+    return make_issuer(node, (unsigned)(home - fleet->nodes), address);
 }
 
-static ts_rate_issuer_t believed_deputy(const node_t *node, const char **address)
+static ts_rate_issuer_t find_deputy_in_view(const node_t *node, const char **address)
 {
     const fleet_t *fleet = node->fleet;
     unsigned zone = (unsigned)(node - fleet->nodes) % ZONES;
-    unsigned home = find_believed(node, ZONES);
-    bool is_near = home % ZONES == zone && believes_majority(node);
-    return dealer(node, is_near ? home : find_believed(node, zone), address);
+    unsigned home = find_highest_in_view(node, ZONES);
+    bool is_near = home % ZONES == zone && sees_majority(node);
+    return make_issuer(node, is_near ? home : find_highest_in_view(node, zone), address);
 }
 
-void begin_beliefs(fleet_t *fleet)
+void enable_local_views(fleet_t *fleet)
 {
-    fleet->beliefs = g_new0(belief_t, (size_t)fleet->n * fleet->n);
+    fleet->suspicions = g_new0(period_t, (size_t)fleet->n * fleet->n);
     fleet->changes = g_array_new(FALSE, FALSE, sizeof(view_change_t));
 }
 
-static void add_change(fleet_t *fleet, unsigned node, ts_time_us_t at_us, bool has_lost)
+static void add_change(fleet_t *fleet, unsigned node, ts_time_us_t at_us, bool is_loss)
 {
-    view_change_t change = {at_us, node, has_lost};
+    view_change_t change = {at_us, node, is_loss};
     g_array_append_val(fleet->changes, change);
 }
 
-void believe_gone(fleet_t *fleet, unsigned node, unsigned other, ts_time_us_t gone_us,
-                  ts_time_us_t back_us)
+void add_suspicion(fleet_t *fleet, unsigned node, unsigned other, ts_time_us_t start_us,
+                   ts_time_us_t end_us)
 {
-    fleet->beliefs[(size_t)node * fleet->n + other] = (belief_t){gone_us, back_us};
-    add_change(fleet, node, gone_us, true);
-    add_change(fleet, node, gone_us + DEAD_US, false);
-    add_change(fleet, node, back_us, false);
+    fleet->suspicions[(size_t)node * fleet->n + other] = (period_t){start_us, end_us};
+    add_change(fleet, node, start_us, true);
+    add_change(fleet, node, start_us + SUSPICION_TIMEOUT_US, false);
+    add_change(fleet, node, end_us, false);
 }
 
-void believe_out(fleet_t *fleet, unsigned node, ts_time_us_t from_us, ts_time_us_t until_us)
+void set_out_of_contact(fleet_t *fleet, unsigned node, ts_time_us_t from_us, ts_time_us_t until_us)
 {
-    fleet->nodes[node].out = (belief_t){from_us, until_us};
+    fleet->nodes[node].out_of_contact = (period_t){from_us, until_us};
     add_change(fleet, node, from_us, false);
     add_change(fleet, node, until_us, false);
 }
@@ -112,35 +113,35 @@
     return (a->at_us > b->at_us) - (a->at_us < b->at_us);
 }
 
-void sort_changes(fleet_t *fleet)
+void sort_view_changes(fleet_t *fleet)
 {
     g_array_sort(fleet->changes, compare_changes);
 }
 
-static void change_views(fleet_t *fleet)
+static void apply_view_changes(fleet_t *fleet)
 {
-    while (fleet->changes != NULL && fleet->changes_done < fleet->changes->len) {
+    while (fleet->changes != NULL && fleet->changes_applied < fleet->changes->len) {
         const view_change_t *change =
-            &g_array_index(fleet->changes, view_change_t, fleet->changes_done);
+            &g_array_index(fleet->changes, view_change_t, fleet->changes_applied);
         if (change->at_us > fleet->now_us)
             return;
         const node_t *node = &fleet->nodes[change->node];
-        ts_rate_limiter_update_view(node->limiter, change->has_lost, fleet->now_us);
-        fleet->changes_done++;
+        ts_rate_limiter_update_view(node->limiter, change->is_loss, fleet->now_us);
+        fleet->changes_applied++;
     }
 }
 
-// -- What the limiter is given
+// -- Callbacks of the limiter, continued
 
-static ts_rate_issuer_t home_of(void *ctx, const char *account, const char **address)
+static ts_rate_issuer_t find_home(void *ctx, const char *account, const char **address)
 {
     const node_t *node = ctx;
-    if (node->fleet->beliefs != NULL)
-        return believed_home(node, address);
-    unsigned home = node->fleet->homes[node->noticed_side];
-    if (!node->is_known || home == node->fleet->n)
+    if (node->fleet->suspicions != NULL)
+        return find_home_in_view(node, address);
+    unsigned home = node->fleet->homes[node->detected_side];
+    if (!node->has_discovered || home == node->fleet->n)
         return TS_RATE_ISSUER_NONE;
-    return dealer(node, home, address);
+    return make_issuer(node, home, address);
 }
 
 static unsigned zone_of(const fleet_t *fleet, unsigned index)
@@ -148,20 +149,20 @@
     return fleet->n < ZONES ? 0 : index % ZONES;
 }
 
-/* The home of an account is its zone's deputy too. */
-static ts_rate_issuer_t deputy_of(void *ctx, const char *account, const char **address)
+/* The home is also the deputy of its zone. */
+static ts_rate_issuer_t find_deputy(void *ctx, const char *account, const char **address)
 {
     const node_t *node = ctx;
     const fleet_t *fleet = node->fleet;
-    if (fleet->beliefs != NULL)
-        return believed_deputy(node, address);
+    if (fleet->suspicions != NULL)
+        return find_deputy_in_view(node, address);
     unsigned own = (unsigned)(node - fleet->nodes);
     unsigned zone = zone_of(fleet, own);
-    unsigned home = fleet->homes[node->noticed_side];
-    if (!node->is_known)
+    unsigned home = fleet->homes[node->detected_side];
+    if (!node->has_discovered)
         return TS_RATE_ISSUER_SELF;
     bool is_near = home < fleet->n && zone_of(fleet, home) == zone;
-    return dealer(node, is_near ? home : fleet->deputies[node->noticed_side][zone], address);
+    return make_issuer(node, is_near ? home : fleet->deputies[node->detected_side][zone], address);
 }
 
 static unsigned count_nodes(void *ctx)
@@ -169,115 +170,117 @@
     return ((const node_t *)ctx)->fleet->n;
 }
 
-static void post(fleet_t *fleet, unsigned from, unsigned to, bool is_deal,
-                 const ts_rate_message_t *row)
+static void send_message(fleet_t *fleet, unsigned from, unsigned to, bool is_reply,
+                         const ts_rate_message_t *content)
 {
     bool is_far = zone_of(fleet, from) != zone_of(fleet, to);
-    bool is_lost = is_deal && fleet->loses_deals;
+    bool is_lost = is_reply && fleet->is_dropping_replies;
     if (is_lost || (unsigned)g_rand_int_range(fleet->random, 0, 100) < fleet->loss_percent)
         return;
-    for (int i = 0; i <= (int)fleet->is_doubling; i++) {
+    for (int i = 0; i <= (int)fleet->is_duplicating; i++) {
         message_t *message = g_new0(message_t, 1);
-        ts_time_us_t at_us = fleet->now_us + (is_far ? FAR_US : NEAR_US);
-        *message = (message_t){at_us, from, to, is_deal, *row};
-        message->row.account = ACCOUNT;
+        ts_time_us_t at_us = fleet->now_us + (is_far ? CROSS_ZONE_DELAY_US : SAME_ZONE_DELAY_US);
+        *message = (message_t){at_us, from, to, is_reply, *content};
+        message->body.account = ACCOUNT;
         g_queue_push_tail(&fleet->messages[is_far], message);
     }
 }
 
-static void send_row(const node_t *node, const char *address, bool is_deal,
-                     const ts_rate_message_t *row)
+static void send_to_address(const node_t *node, const char *address, bool is_reply,
+                            const ts_rate_message_t *content)
 {
     unsigned from = (unsigned)(node - node->fleet->nodes);
-    post(node->fleet, from, (unsigned)g_ascii_strtoull(address, NULL, 10), is_deal, row);
+    send_message(node->fleet, from, (unsigned)g_ascii_strtoull(address, NULL, 10), is_reply,
+                 content);
 }
 
-static void ask(void *ctx, const char *address, const ts_rate_message_t *row)
+static void send_claim(void *ctx, const char *address, const ts_rate_message_t *content)
 {
-    send_row(ctx, address, false, row);
+    send_to_address(ctx, address, false, content);
 }
 
-static void answer(void *ctx, const char *address, const ts_rate_message_t *row)
+static void send_reply(void *ctx, const char *address, const ts_rate_message_t *content)
 {
-    send_row(ctx, address, true, row);
+    send_to_address(ctx, address, true, content);
 }
 
-static void dealt(void *ctx, const char *account)
+static void on_grant(void *ctx, const char *account)
 {
 }
 
 static void wake(void *ctx)
 {
-    ((node_t *)ctx)->turned_us = 0;
+    ((node_t *)ctx)->ticked_us = 0;
 }
 
-static void changed(void *ctx, const char *account, const ts_rate_params_t *terms, bool is_over)
+static void on_limit_change(void *ctx, const char *account, const ts_rate_params_t *params,
+                            bool is_exceeded)
 {
 }
 
-static const ts_rate_limiter_ops_t ops = {terms_of, home_of, deputy_of, count_nodes, ask,
-                                          answer,   wake,    dealt,     changed};
+static const ts_rate_limiter_ops_t ops = {get_params,  find_home,  find_deputy,
+                                          count_nodes, send_claim, send_reply,
+                                          wake,        on_grant,   on_limit_change};
 
-// -- The world
+// -- Fleet
 
 void start_node(node_t *node)
 {
     if (node->limiter != NULL)
         ts_rate_limiter_free(node->limiter);
     node->limiter = ts_rate_limiter_create(node->id, &ops, node, node->fleet->now_us);
-    g_array_set_size(node->waiting, 0);
+    g_array_set_size(node->waiting_since, 0);
     node->is_down = false;
 }
 
-static bool is_majority(const fleet_t *fleet, unsigned side)
+static bool has_majority(const fleet_t *fleet, unsigned side)
 {
-    unsigned live = 0;
+    unsigned live_count = 0;
     for (unsigned i = 0; i < fleet->n; i++)
-        live += fleet->nodes[i].noticed_side == side && !fleet->nodes[i].is_noticed_down;
-    return 2 * live > fleet->n;
+        live_count += fleet->nodes[i].detected_side == side && !fleet->nodes[i].is_detected_down;
+    return 2 * live_count > fleet->n;
 }
 
-/* The live node of the highest id, of a zone or of all (ZONES); n if there is none. */
-static unsigned find_highest(const fleet_t *fleet, unsigned side, unsigned zone)
+/* The live node with the highest id, in a zone or in all (ZONES); n if there is none. */
+static unsigned find_highest_id(const fleet_t *fleet, unsigned side, unsigned zone)
 {
     unsigned best = fleet->n;
     for (unsigned i = 0; i < fleet->n; i++) {
         const node_t *node = &fleet->nodes[i];
-        bool may = node->noticed_side == side && !node->is_noticed_down && node->is_known &&
-                   (zone == ZONES || zone_of(fleet, i) == zone);
-        if (may && (best == fleet->n || node->id > fleet->nodes[best].id))
+        bool is_candidate = node->detected_side == side && !node->is_detected_down &&
+                            node->has_discovered && (zone == ZONES || zone_of(fleet, i) == zone);
+        if (is_candidate && (best == fleet->n || node->id > fleet->nodes[best].id))
             best = i;
     }
     return best;
 }
 
-/* What was noticed is believed by all from now on: homes move. */
-void settle(fleet_t *fleet)
+void apply_detected_state(fleet_t *fleet)
 {
-    unsigned live = 0;
+    unsigned live_count = 0;
     for (unsigned i = 0; i < fleet->n; i++)
-        live += !fleet->nodes[i].is_noticed_down && fleet->nodes[i].noticed_side == 0;
-    bool has_lost = live < fleet->live;
-    fleet->live = live;
+        live_count += !fleet->nodes[i].is_detected_down && fleet->nodes[i].detected_side == 0;
+    bool is_loss = live_count < fleet->live_count;
+    fleet->live_count = live_count;
     for (unsigned side = 0; side < 2; side++) {
-        unsigned best = find_highest(fleet, side, ZONES);
-        fleet->homes[side] = is_majority(fleet, side) ? best : fleet->n;
+        unsigned best = find_highest_id(fleet, side, ZONES);
+        fleet->homes[side] = has_majority(fleet, side) ? best : fleet->n;
         for (unsigned zone = 0; zone < ZONES; zone++)
-            fleet->deputies[side][zone] = find_highest(fleet, side, zone);
+            fleet->deputies[side][zone] = find_highest_id(fleet, side, zone);
     }
     for (unsigned i = 0; i < fleet->n; i++)
-        ts_rate_limiter_update_view(fleet->nodes[i].limiter, has_lost, fleet->now_us);
+        ts_rate_limiter_update_view(fleet->nodes[i].limiter, is_loss, fleet->now_us);
 }
 
-void notice(fleet_t *fleet)
+void detect_changes(fleet_t *fleet)
 {
     for (unsigned i = 0; i < fleet->n; i++) {
         node_t *node = &fleet->nodes[i];
-        node->is_noticed_down = node->is_down || node->is_frozen;
-        node->noticed_side = node->side;
-        node->is_known = true;
+        node->is_detected_down = node->is_down || node->is_frozen;
+        node->detected_side = node->side;
+        node->has_discovered = true;
     }
-    settle(fleet);
+    apply_detected_state(fleet);
 }
 
 fleet_t *open_fleet(unsigned n, double rate, double burst)
@@ -287,18 +290,18 @@
     fleet->now_us = 100 * TS_US_PER_S;
     fleet->n = n;
     fleet->nodes = g_new0(node_t, n);
-    fleet->terms = (ts_rate_params_t){rate, burst, limit, 0.25 * limit + 20};
+    fleet->params = (ts_rate_params_t){rate, burst, limit, 0.25 * limit + 20};
     fleet->random = g_rand_new_with_seed(n);
     for (unsigned i = 0; i < n; i++) {
         node_t *node = &fleet->nodes[i];
         node->fleet = fleet;
         g_snprintf(node->address, sizeof(node->address), "%u", i);
         node->id = ts_hash_text(node->address);
-        node->waiting = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
-        node->is_known = true;
+        node->waiting_since = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
+        node->has_discovered = true;
         start_node(node);
     }
-    settle(fleet);
+    apply_detected_state(fleet);
     fleet->now_us += 10 * TS_US_PER_S; // buckets are full
     return fleet;
 }
@@ -307,40 +310,41 @@
 {
     for (unsigned i = 0; i < fleet->n; i++) {
         ts_rate_limiter_free(fleet->nodes[i].limiter);
-        g_array_unref(fleet->nodes[i].waiting);
+        g_array_unref(fleet->nodes[i].waiting_since);
     }
     g_queue_clear_full(&fleet->messages[0], g_free);
     g_queue_clear_full(&fleet->messages[1], g_free);
-    g_queue_clear_full(&fleet->held, g_free);
+    g_queue_clear_full(&fleet->buffered, g_free);
     g_rand_free(fleet->random);
-    g_free(fleet->beliefs);
+    g_free(fleet->suspicions);
     if (fleet->changes != NULL)
         g_array_unref(fleet->changes);
     g_free(fleet->nodes);
     g_free(fleet);
 }
 
-static unsigned slot_of(const fleet_t *fleet)
+static unsigned current_slot(const fleet_t *fleet)
 {
-    return (unsigned)(fleet->now_us * SLOTS / WINDOW_US - 100 * TS_US_PER_S * SLOTS / WINDOW_US);
+    return (unsigned)(fleet->now_us * SLOTS_PER_WINDOW / WINDOW_US -
+                      100 * TS_US_PER_S * SLOTS_PER_WINDOW / WINDOW_US);
 }
 
-/* Whether the request is decided. */
+/* Returns whether the request was decided; if not, it keeps waiting for a token. */
 static bool try_take(node_t *node, ts_time_us_t since_us)
 {
     fleet_t *fleet = node->fleet;
     switch (ts_rate_limiter_take(node->limiter, ACCOUNT, fleet->now_us)) {
     case TS_RATE_TAKEN:
         node->taken++;
-        fleet->spent[slot_of(fleet)]++;
+        fleet->spent[current_slot(fleet)]++;
         return true;
     case TS_RATE_EXCEEDED:
         node->refused++;
         return true;
     default:
-        if (fleet->now_us - since_us < WAIT_US)
+        if (fleet->now_us - since_us < TOKEN_TIMEOUT_US)
             return false;
-        node->unknown++;
+        node->timed_out++;
         return true;
     }
 }
@@ -350,39 +354,40 @@
     fleet_t *fleet = node->fleet;
     if (node->is_down || node->is_frozen)
         return;
-    for (guint i = node->waiting->len; i > 0; i--) {
-        if (try_take(node, g_array_index(node->waiting, ts_time_us_t, i - 1)))
-            g_array_remove_index(node->waiting, i - 1);
+    for (guint i = node->waiting_since->len; i > 0; i--) {
+        if (try_take(node, g_array_index(node->waiting_since, ts_time_us_t, i - 1)))
+            g_array_remove_index(node->waiting_since, i - 1);
     }
-    double come = node->load * (double)STEP_US / TS_US_PER_S;
-    node->due += fleet->is_random ? g_rand_double(fleet->random) < come : come;
-    for (; node->due >= 1; node->due -= 1) {
+    double arrivals = node->load * (double)STEP_US / TS_US_PER_S;
+    node->requests_due +=
+        fleet->has_random_arrivals ? g_rand_double(fleet->random) < arrivals : arrivals;
+    for (; node->requests_due >= 1; node->requests_due -= 1) {
         ts_rate_limiter_count_request(node->limiter, ACCOUNT, fleet->now_us);
         if (!try_take(node, fleet->now_us))
-            g_array_append_val(node->waiting, fleet->now_us);
+            g_array_append_val(node->waiting_since, fleet->now_us);
     }
-    if (fleet->now_us - node->turned_us < TURN_US)
+    if (fleet->now_us - node->ticked_us < TICK_INTERVAL_US)
         return;
-    node->turned_us = fleet->now_us;
+    node->ticked_us = fleet->now_us;
     ts_rate_limiter_tick(node->limiter, fleet->now_us);
 }
 
-/* A connection takes so many messages while nobody reads them. */
-#define HELD_MAX 640
+/* Messages that the connections across a partition buffer while nobody reads from them. */
+#define BUFFERED_MAX 640
 
 static void deliver(fleet_t *fleet, const message_t *message)
 {
     node_t *to = &fleet->nodes[message->to];
     const node_t *from = &fleet->nodes[message->from];
     bool is_cut = from->side != to->side;
-    if (is_cut && fleet->holds_messages && fleet->held.length < HELD_MAX)
-        g_queue_push_tail(&fleet->held, g_memdup2(message, sizeof(*message)));
+    if (is_cut && fleet->is_buffering && fleet->buffered.length < BUFFERED_MAX)
+        g_queue_push_tail(&fleet->buffered, g_memdup2(message, sizeof(*message)));
     if (to->is_down || to->is_frozen || is_cut)
         return;
-    if (message->is_deal)
-        ts_rate_limiter_receive_grant(to->limiter, &message->row, fleet->now_us);
+    if (message->is_reply)
+        ts_rate_limiter_receive_grant(to->limiter, &message->body, fleet->now_us);
     else
-        (void)ts_rate_limiter_receive_claim(to->limiter, from->id, from->address, &message->row,
+        (void)ts_rate_limiter_receive_claim(to->limiter, from->id, from->address, &message->body,
                                             fleet->now_us);
 }
 
@@ -396,20 +401,20 @@
     }
 }
 
-void release_messages(fleet_t *fleet)
+void deliver_buffered(fleet_t *fleet)
 {
     message_t *message = NULL;
-    while ((message = g_queue_pop_head(&fleet->held)) != NULL) {
+    while ((message = g_queue_pop_head(&fleet->buffered)) != NULL) {
         deliver(fleet, message);
         g_free(message);
     }
 }
 
-void run(fleet_t *fleet, double span_s)
+void run_fleet(fleet_t *fleet, double span_s)
 {
     ts_time_us_t until_us = fleet->now_us + (ts_time_us_t)(span_s * TS_US_PER_S);
     for (; fleet->now_us < until_us; fleet->now_us += STEP_US) {
-        change_views(fleet);
+        apply_view_changes(fleet);
         deliver_due(fleet, &fleet->messages[0]);
         deliver_due(fleet, &fleet->messages[1]);
         for (unsigned i = 0; i < fleet->n; i++)
@@ -417,15 +422,13 @@
     }
 }
 
-/* Something has just happened; it is noticed a little later. */
-void run_until_noticed(fleet_t *fleet)
+void run_until_detected(fleet_t *fleet)
 {
-    run(fleet, (double)NOTICED_US / TS_US_PER_S);
-    notice(fleet);
+    run_fleet(fleet, (double)DETECTION_TIME_US / TS_US_PER_S);
+    detect_changes(fleet);
 }
 
-/* The load of an account, spread evenly over the first `nodes` that are not home. */
-void load_nodes(fleet_t *fleet, unsigned nodes, unsigned each)
+void spread_load(fleet_t *fleet, unsigned nodes, unsigned each)
 {
     for (unsigned i = 0; i < fleet->n; i++)
         fleet->nodes[i].load = 0;
@@ -433,17 +436,18 @@
         if (i == fleet->homes[0] && fleet->n > nodes)
             continue;
         fleet->nodes[i].load = each;
-        fleet->nodes[i].due = (double)loaded / nodes; // not all at once
+        // staggers the arrivals of different nodes
+        fleet->nodes[i].requests_due = (double)loaded / nodes;
         loaded++;
     }
 }
 
-unsigned most_in_a_window(const fleet_t *fleet)
+unsigned max_spent_in_window(const fleet_t *fleet)
 {
     unsigned most = 0;
-    for (unsigned i = 0; i + SLOTS < G_N_ELEMENTS(fleet->spent); i++) {
+    for (unsigned i = 0; i + SLOTS_PER_WINDOW < G_N_ELEMENTS(fleet->spent); i++) {
         unsigned sum = 0;
-        for (unsigned j = 0; j < SLOTS; j++)
+        for (unsigned j = 0; j < SLOTS_PER_WINDOW; j++)
             sum += fleet->spent[i + j];
         most = MAX(most, sum);
     }
@@ -452,21 +456,21 @@
 
 void assert_within_bound(const fleet_t *fleet)
 {
-    unsigned most = most_in_a_window(fleet);
-    if (most > fleet->terms.limit + fleet->terms.tolerance)
-        fail_msg("%u in a window of %.0f and %.0f", most, fleet->terms.limit,
-                 fleet->terms.tolerance);
+    unsigned most = max_spent_in_window(fleet);
+    if (most > fleet->params.limit + fleet->params.tolerance)
+        fail_msg("%u tokens spent in one window; limit %.0f, tolerance %.0f", most,
+                 fleet->params.limit, fleet->params.tolerance);
 }
 
-totals_t take_totals(fleet_t *fleet)
+outcomes_t take_outcomes(fleet_t *fleet)
 {
-    totals_t totals = {0};
+    outcomes_t outcomes = {0};
     for (unsigned i = 0; i < fleet->n; i++) {
         node_t *node = &fleet->nodes[i];
-        totals.taken += node->taken;
-        totals.refused += node->refused;
-        totals.unknown += node->unknown;
-        node->taken = node->refused = node->unknown = 0;
+        outcomes.taken += node->taken;
+        outcomes.refused += node->refused;
+        outcomes.timed_out += node->timed_out;
+        node->taken = node->refused = node->timed_out = 0;
     }
-    return totals;
+    return outcomes;
 }
--- a/tests/route/test_rate_callers.c
+++ b/tests/route/test_rate_callers.c
@@ -1,266 +1,277 @@
 /**
- * What callers of an account get that stay below its limit while the fleet is in trouble: requests
- * come as from many callers, 0.6 or 0.8 of the rate in all, and next to none is to be refused by
- * nodes that hear each other. Each test brings one cause of refusals about.
+ * Service to the callers of an account that stays below its limit while the fleet has faults.
+ * Requests arrive at random times, at 0.6 or 0.8 of the rate in all, and nodes that reach each
+ * other must refuse almost none. Each test covers one cause of needless refusals.
  */
 #include "rate_fleet.h"
 
 #define NODES 60
 #define RATE 10
-#define USE 0.6      /* of the rate */
-#define NEAR_USE 0.8 /* of it too */
+#define LOAD_SHARE 0.6      /* of the rate */
+#define HIGH_LOAD_SHARE 0.8 /* of the rate */
 #define SEEDS 8
 
-/* A part of the rate comes at so many nodes, evenly; nodes of one zone (or ZONES: of all). */
-static void enter_at(fleet_t *fleet, double use, unsigned loaded, unsigned zone, unsigned first)
+/* Distributes `share` of the rate evenly over `loaded` nodes of a zone or of all zones (ZONES). */
+static void distribute_load(fleet_t *fleet, double share, unsigned loaded, unsigned zone,
+                            unsigned first)
 {
     for (unsigned i = 0; i < NODES; i++)
         fleet->nodes[i].load = 0;
     for (unsigned i = first, left = loaded; left > 0; i = (i + 7) % NODES) {
         if (zone != ZONES && i % ZONES != zone)
             continue;
-        fleet->nodes[i].load += use * RATE / loaded;
+        fleet->nodes[i].load += share * RATE / loaded;
         left--;
     }
 }
 
-static fleet_t *open_used_fleet(unsigned seed, unsigned loaded, unsigned zone)
+static fleet_t *open_loaded_fleet(unsigned seed, unsigned loaded, unsigned zone)
 {
     fleet_t *fleet = open_fleet(NODES, RATE, RATE);
     g_rand_set_seed(fleet->random, seed);
-    fleet->is_random = true;
-    enter_at(fleet, USE, loaded, zone, 0);
+    fleet->has_random_arrivals = true;
+    distribute_load(fleet, LOAD_SHARE, loaded, zone, 0);
     return fleet;
 }
 
-static ts_time_us_t in_s(const fleet_t *fleet, double span_s)
+static ts_time_us_t time_after_s(const fleet_t *fleet, double span_s)
 {
     return fleet->now_us + (ts_time_us_t)(span_s * TS_US_PER_S);
 }
 
-/* Adds what became of requests since the last call. */
-static void add_totals(fleet_t *fleet, totals_t *totals)
+static void add_outcomes(fleet_t *fleet, outcomes_t *outcomes)
 {
-    totals_t more = take_totals(fleet);
-    totals->taken += more.taken;
-    totals->refused += more.refused;
-    totals->unknown += more.unknown;
+    outcomes_t latest = take_outcomes(fleet);
+    outcomes->taken += latest.taken;
+    outcomes->refused += latest.refused;
+    outcomes->timed_out += latest.timed_out;
 }
 
-static void assert_served(const char *what, const totals_t *totals, double least)
+static void assert_served(const char *test_case, const outcomes_t *outcomes, double share_min)
 {
-    double all = totals->taken + totals->refused + totals->unknown;
-    if (totals->taken < least * all)
-        fail_msg("%s: %u served, %u refused, %u not known", what, totals->taken, totals->refused,
-                 totals->unknown);
+    double all = outcomes->taken + outcomes->refused + outcomes->timed_out;
+    if (outcomes->taken < share_min * all)
+        fail_msg("%s: %u served, %u refused, %u timed out", test_case, outcomes->taken,
+                 outcomes->refused, outcomes->timed_out);
 }
 
 /*
- * A home finds itself out of contact with most of the fleet, while nodes still hear and ask it. It
- * answered out of its own lease then, which has no right, and so took back the rights that it had
- * given as home: nodes that had spent 5 a second by themselves could spend nothing.
+ * A home knows that it is out of contact with most of the fleet, while nodes still reach it and
+ * send claims. It must not answer them from its own lease: that has no fallback rate, so the grant
+ * withdraws the fallback rate that the node got from the home. Nodes that had spent 5 tokens per
+ * second on their own could then spend nothing.
  */
-static void test_home_that_stops_leaves_rights(void **state)
+static void test_isolated_home_leaves_fallback_rates(void **state)
 {
-    totals_t totals = {0};
+    outcomes_t outcomes = {0};
     for (unsigned seed = 0; seed < SEEDS; seed++) {
-        fleet_t *fleet = open_used_fleet(seed, 6, ZONES);
-        begin_beliefs(fleet);
-        believe_out(fleet, fleet->homes[0], in_s(fleet, 10), in_s(fleet, 16));
-        sort_changes(fleet);
-        run(fleet, 10);
-        (void)take_totals(fleet);
-        run(fleet, 6);
-        add_totals(fleet, &totals);
+        fleet_t *fleet = open_loaded_fleet(seed, 6, ZONES);
+        enable_local_views(fleet);
+        set_out_of_contact(fleet, fleet->homes[0], time_after_s(fleet, 10),
+                           time_after_s(fleet, 16));
+        sort_view_changes(fleet);
+        run_fleet(fleet, 10);
+        (void)take_outcomes(fleet);
+        run_fleet(fleet, 6);
+        add_outcomes(fleet, &outcomes);
         close_fleet(fleet);
     }
-    assert_served("by rights", &totals, 0.8); // each by itself, from requests that come unevenly
+    // Each node has only its own fallback rate, and its requests arrive at random times.
+    assert_served("isolated home", &outcomes, 0.8);
 }
 
 /*
- * A home is back from a cut. It dealt what had come in while it was out of contact, all of which
- * the home in its place had dealt: 104 tokens in two seconds of a rate of 20.
+ * A home returns from a partition. It must not grant the tokens that accrued while it was out of
+ * contact, as its replacement has granted them already. With this fault, 104 tokens were spent in
+ * two seconds at a rate of 20.
  */
-static void test_home_that_is_back_begins_anew(void **state)
+static void test_returned_home_restarts_account(void **state)
 {
     for (unsigned seed = 0; seed < SEEDS; seed++) {
-        fleet_t *fleet = open_used_fleet(seed, 12, ZONES);
+        fleet_t *fleet = open_loaded_fleet(seed, 12, ZONES);
         unsigned home = fleet->homes[0];
-        begin_beliefs(fleet);
+        enable_local_views(fleet);
         for (unsigned i = 0; i < NODES; i++) {
             if (i == home)
                 continue;
-            believe_gone(fleet, i, home, in_s(fleet, 11.5), in_s(fleet, 20.5));
-            believe_gone(fleet, home, i, in_s(fleet, 12 + i % 7), in_s(fleet, 20.5));
+            add_suspicion(fleet, i, home, time_after_s(fleet, 11.5), time_after_s(fleet, 20.5));
+            add_suspicion(fleet, home, i, time_after_s(fleet, 12 + i % 7),
+                          time_after_s(fleet, 20.5));
         }
-        believe_out(fleet, home, in_s(fleet, 12), in_s(fleet, 20.2));
-        sort_changes(fleet);
-        run(fleet, 10);
+        set_out_of_contact(fleet, home, time_after_s(fleet, 12), time_after_s(fleet, 20.2));
+        sort_view_changes(fleet);
+        run_fleet(fleet, 10);
         fleet->nodes[home].side = 1;
-        run(fleet, 7);
+        run_fleet(fleet, 7);
         for (unsigned i = 0; i < NODES; i++)
             fleet->nodes[i].load *= 12;
-        run(fleet, 3);
+        run_fleet(fleet, 3);
         fleet->nodes[home].side = 0;
-        run(fleet, 8);
+        run_fleet(fleet, 8);
         assert_within_bound(fleet);
         close_fleet(fleet);
     }
 }
 
 /*
- * Callers change the nodes at which they enter. What a node had of the rate to spend by itself
- * counted as held, and was debited as spent, for twelve seconds after it had been taken back: it
- * asked no more, and so told nobody. Seen as a debt of up to two seconds of the rate, and 429 for
- * tenants at half of their limit, eight seconds after the last trouble.
+ * Callers move to other nodes. A node whose fallback rate was withdrawn sends no more claims, so it
+ * does not report that it spent nothing. If its rate still counts as assigned, it is debited as
+ * spent for 12 s. This caused a debt of up to two seconds of the rate, and 429 for tenants at half
+ * of their limit eight seconds after the last fault.
  */
-static void test_callers_change_nodes(void **state)
+static void test_callers_move_between_nodes(void **state)
 {
-    totals_t totals = {0};
+    outcomes_t outcomes = {0};
     for (unsigned seed = 0; seed < SEEDS; seed++) {
-        fleet_t *fleet = open_used_fleet(seed, 3, ZONES);
-        run(fleet, 5);
-        (void)take_totals(fleet);
-        for (unsigned times = 1; times < 20; times++) {
-            enter_at(fleet, NEAR_USE, 3, ZONES, times * 11 % NODES);
-            run(fleet, 1.5);
+        fleet_t *fleet = open_loaded_fleet(seed, 3, ZONES);
+        run_fleet(fleet, 5);
+        (void)take_outcomes(fleet);
+        for (unsigned round = 1; round < 20; round++) {
+            distribute_load(fleet, HIGH_LOAD_SHARE, 3, ZONES, round * 11 % NODES);
+            run_fleet(fleet, 1.5);
         }
-        add_totals(fleet, &totals);
+        add_outcomes(fleet, &outcomes);
         assert_within_bound(fleet);
         close_fleet(fleet);
     }
-    assert_served("moving callers", &totals, 0.99);
+    assert_served("callers move", &outcomes, 0.99);
 }
 
 /*
- * The deputy of a zone becomes home, as the one before is lost. It went on counting the nodes of
- * its zone as debtors that it hears no more, beside what they ask it for as home, and debited their
- * rights as spent alone: 0 of 6 requests served after four seconds (test_quotas).
+ * The home is lost and the deputy of a zone becomes home. The nodes of its zone then send it claims
+ * as home. If it also keeps its records of them as deputy, they seem silent there and their
+ * fallback rates are debited as spent: 0 of 6 requests were served after four seconds
+ * (test_quotas).
  */
 static void test_deputy_becomes_home(void **state)
 {
-    totals_t totals = {0};
+    outcomes_t outcomes = {0};
     for (unsigned seed = 0; seed < SEEDS; seed++) {
         fleet_t *fleet = open_fleet(NODES, RATE, RATE);
         fleet->nodes[fleet->homes[0]].is_down = true;
-        notice(fleet);
-        unsigned next = fleet->homes[0];
+        detect_changes(fleet);
+        unsigned next_home = fleet->homes[0];
         close_fleet(fleet);
-        fleet = open_used_fleet(seed, 3, next % ZONES);
-        run(fleet, 10);
+        fleet = open_loaded_fleet(seed, 3, next_home % ZONES);
+        run_fleet(fleet, 10);
         fleet->nodes[fleet->homes[0]].is_down = true;
-        run_until_noticed(fleet);
-        run(fleet, 2);
-        (void)take_totals(fleet);
-        run(fleet, 8);
-        add_totals(fleet, &totals);
+        run_until_detected(fleet);
+        run_fleet(fleet, 2);
+        (void)take_outcomes(fleet);
+        run_fleet(fleet, 8);
+        add_outcomes(fleet, &outcomes);
         assert_within_bound(fleet);
         close_fleet(fleet);
     }
-    assert_served("a deputy's zone", &totals, 0.99);
+    assert_served("deputy becomes home", &outcomes, 0.99);
 }
 
 /*
- * Nodes suspect the home for a moment, some of them now and some then, and ask the next one
- * meanwhile. Who they had asked before took them for cut off, and withheld or debited their rights
- * for up to twelve seconds.
+ * Nodes suspect the home briefly, at different times, and send their claims to the next node
+ * meanwhile. The issuer that they leave must not take them for cut off, or it withholds or debits
+ * their fallback rates for up to 12 s.
  */
-static void test_suspicions_come_and_go(void **state)
+static void test_brief_suspicions(void **state)
 {
-    totals_t totals = {0};
+    outcomes_t outcomes = {0};
     for (unsigned seed = 0; seed < SEEDS; seed++) {
-        fleet_t *fleet = open_used_fleet(seed, 12, ZONES);
-        begin_beliefs(fleet);
+        fleet_t *fleet = open_loaded_fleet(seed, 12, ZONES);
+        enable_local_views(fleet);
         for (unsigned i = 0; i < NODES; i++) {
             double at_s = g_rand_double_range(fleet->random, 10, 20);
             double span_s = g_rand_double_range(fleet->random, 0.3, 2);
             if (i != fleet->homes[0])
-                believe_gone(fleet, i, fleet->homes[0], in_s(fleet, at_s),
-                             in_s(fleet, at_s + span_s));
+                add_suspicion(fleet, i, fleet->homes[0], time_after_s(fleet, at_s),
+                              time_after_s(fleet, at_s + span_s));
         }
-        sort_changes(fleet);
-        run(fleet, 10);
-        (void)take_totals(fleet);
-        run(fleet, 22);
-        add_totals(fleet, &totals);
+        sort_view_changes(fleet);
+        run_fleet(fleet, 10);
+        (void)take_outcomes(fleet);
+        run_fleet(fleet, 22);
+        add_outcomes(fleet, &outcomes);
         assert_within_bound(fleet);
         close_fleet(fleet);
     }
-    assert_served("suspicions", &totals, 0.97);
+    assert_served("brief suspicions", &outcomes, 0.97);
 }
 
-/* Plays a cut of the home from all others, who go on asking it; how late what they sent arrives. */
-static void play_late_asks(unsigned seed, double late_s, totals_t *totals)
+/*
+ * Isolates the home while the others continue to send it claims. Messages sent across the partition
+ * arrive `delay_s` after its end.
+ */
+static void run_late_claims(unsigned seed, double delay_s, outcomes_t *outcomes)
 {
-    fleet_t *fleet = open_used_fleet(seed, 12, ZONES);
+    fleet_t *fleet = open_loaded_fleet(seed, 12, ZONES);
     unsigned home = fleet->homes[0];
-    begin_beliefs(fleet);
-    believe_out(fleet, home, in_s(fleet, 12), in_s(fleet, 18));
-    sort_changes(fleet);
-    run(fleet, 10);
-    fleet->holds_messages = true;
+    enable_local_views(fleet);
+    set_out_of_contact(fleet, home, time_after_s(fleet, 12), time_after_s(fleet, 18));
+    sort_view_changes(fleet);
+    run_fleet(fleet, 10);
+    fleet->is_buffering = true;
     fleet->nodes[home].side = 1;
-    run(fleet, 8.004);
+    run_fleet(fleet, 8.004);
     fleet->nodes[home].side = 0;
-    run(fleet, late_s);
-    release_messages(fleet);
-    run(fleet, 1);
-    (void)take_totals(fleet);
-    run(fleet, 8);
-    add_totals(fleet, totals);
+    run_fleet(fleet, delay_s);
+    deliver_buffered(fleet);
+    run_fleet(fleet, 1);
+    (void)take_outcomes(fleet);
+    run_fleet(fleet, 8);
+    add_outcomes(fleet, outcomes);
     assert_within_bound(fleet);
     close_fleet(fleet);
 }
 
 /*
- * Asks that were sent during a cut lie on the way and come all at once at its end, before those
- * that are sent then or after them. The totals that they tell, one after the other, were debited as
- * if just spent, to an account that had begun with what has come in since (13 tokens within a
- * millisecond); and after newer ones, as those of a node that had begun anew.
+ * Claims sent during a partition are buffered and all arrive at its end, before or after claims
+ * that are sent then. The totals of spent tokens in them, one after the other, must not be debited
+ * as if just spent: the account was opened with the tokens that accrued since (13 tokens were
+ * debited within a millisecond). Nor must claims that arrive after newer ones be taken for claims
+ * of a restarted node.
  */
-static void test_asks_that_come_late(void **state)
+static void test_late_claims(void **state)
 {
-    totals_t totals = {0};
+    outcomes_t outcomes = {0};
     for (unsigned seed = 0; seed < SEEDS; seed++)
-        play_late_asks(seed, 0, &totals);
-    assert_served("late asks first", &totals, 0.97);
-    totals = (totals_t){0};
+        run_late_claims(seed, 0, &outcomes);
+    assert_served("late claims before new ones", &outcomes, 0.97);
+    outcomes = (outcomes_t){0};
     for (unsigned seed = 0; seed < SEEDS; seed++)
-        play_late_asks(seed, 0.1, &totals);
-    assert_served("late asks last", &totals, 0.97);
+        run_late_claims(seed, 0.1, &outcomes);
+    assert_served("late claims after new ones", &outcomes, 0.97);
 }
 
 /*
- * A home is silent for three seconds, and another one takes its place a moment before six requests
- * come that burst and rate allow. What the node had saved up alone was lost when it lent its right
- * to the new home, whose bucket was empty: 0 to 3 of 6 requests served (test_silent_home, beside
- * load: "tokens 0.00 age 0.00" at the first deal).
+ * The home is silent for three seconds, and another node becomes home shortly before six requests
+ * arrive, which burst and rate allow. The tokens that a node accumulated from its fallback rate
+ * must not be lost when it lends this rate to the new home, whose bucket is empty. With this fault,
+ * 0 to 3 of 6 requests were served (test_silent_home under load; "tokens 0.00 age 0.00" at the
+ * first grant).
  */
-static void test_new_home_gets_what_was_saved(void **state)
+static void test_new_home_receives_saved_tokens(void **state)
 {
     fleet_t *fleet = open_fleet(4, 20, 10);
-    fleet->terms.tolerance = 0;
+    fleet->params.tolerance = 0;
     unsigned home = fleet->homes[0];
-    node_t *other = &fleet->nodes[(home + 1) % 4];
-    begin_beliefs(fleet);
+    node_t *node = &fleet->nodes[(home + 1) % 4];
+    enable_local_views(fleet);
     for (unsigned i = 0; i < 4; i++)
         if (i != home)
-            believe_gone(fleet, i, home, in_s(fleet, 4), in_s(fleet, 60));
-    sort_changes(fleet);
-    other->load = 8;
-    run(fleet, 1);
-    other->load = 0;
+            add_suspicion(fleet, i, home, time_after_s(fleet, 4), time_after_s(fleet, 60));
+    sort_view_changes(fleet);
+    node->load = 8;
+    run_fleet(fleet, 1);
+    node->load = 0;
     fleet->nodes[home].side = 1;
-    run(fleet, 3.05);
-    (void)take_totals(fleet);
-    other->due = 6;
-    run(fleet, 0.2);
-    assert_int_equal(take_totals(fleet).taken, 6);
+    run_fleet(fleet, 3.05);
+    (void)take_outcomes(fleet);
+    node->requests_due = 6;
+    run_fleet(fleet, 0.2);
+    assert_int_equal(take_outcomes(fleet).taken, 6);
     close_fleet(fleet);
 }
 
-/* The node that is home for all that don't believe the first one to be live. */
-static unsigned next_home(const fleet_t *fleet)
+/* The node that is home in the view of all nodes that suspect the first home. */
+static unsigned find_next_home(const fleet_t *fleet)
 {
     unsigned best = fleet->n;
     for (unsigned i = 0; i < fleet->n; i++) {
@@ -272,53 +283,54 @@
 }
 
 /*
- * The same, while the node that is asked as the new home still takes the silent one for home, and
- * asks it in its turn. What the asking node had saved up was given away with its ask, and it had
- * nothing left when no answer came (test_silent_home beside load: 1 to 4 of 6 served, "saved 9.00"
- * in the ask, 503 after 75 ms).
+ * As above, but the new home still takes the silent node for home and sends it claims in its turn.
+ * A node that hands over its accumulated tokens with its claim has none left when no reply comes
+ * (test_silent_home under load: 1 to 4 of 6 requests served, "saved 9.00" in the claim, 503 after
+ * 75 ms).
  */
-static void test_saved_tokens_last_until_a_dealer_answers(void **state)
+static void test_saved_tokens_are_kept_until_an_issuer_answers(void **state)
 {
     fleet_t *fleet = open_fleet(4, 20, 10);
-    fleet->terms.tolerance = 0;
+    fleet->params.tolerance = 0;
     unsigned home = fleet->homes[0];
-    unsigned next = next_home(fleet);
-    unsigned asking = 0;
-    while (asking == home || asking == next)
-        asking++;
-    node_t *other = &fleet->nodes[asking];
-    begin_beliefs(fleet);
+    unsigned next = find_next_home(fleet);
+    unsigned claimant = 0;
+    while (claimant == home || claimant == next)
+        claimant++;
+    node_t *node = &fleet->nodes[claimant];
+    enable_local_views(fleet);
     for (unsigned i = 0; i < 4; i++)
         if (i != home)
-            believe_gone(fleet, i, home, in_s(fleet, i == next ? 5 : 4), in_s(fleet, 60));
-    sort_changes(fleet);
-    other->load = 8;
-    run(fleet, 1);
-    other->load = 0;
+            add_suspicion(fleet, i, home, time_after_s(fleet, i == next ? 5 : 4),
+                          time_after_s(fleet, 60));
+    sort_view_changes(fleet);
+    node->load = 8;
+    run_fleet(fleet, 1);
+    node->load = 0;
     fleet->nodes[home].side = 1;
-    run(fleet, 3.05);
-    (void)take_totals(fleet);
-    other->due = 6;
-    run(fleet, 0.04); // before a dealer counts as silent
-    totals_t totals = take_totals(fleet);
-    if (totals.taken < 6)
-        print_error("%u taken, %u refused, %u unknown\n", totals.taken, totals.refused,
-                    totals.unknown);
-    assert_int_equal(totals.taken, 6);
+    run_fleet(fleet, 3.05);
+    (void)take_outcomes(fleet);
+    node->requests_due = 6;
+    run_fleet(fleet, 0.04); // before an issuer counts as silent
+    outcomes_t outcomes = take_outcomes(fleet);
+    if (outcomes.taken < 6)
+        print_error("%u taken, %u refused, %u timed out\n", outcomes.taken, outcomes.refused,
+                    outcomes.timed_out);
+    assert_int_equal(outcomes.taken, 6);
     close_fleet(fleet);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_home_that_stops_leaves_rights),
-        cmocka_unit_test(test_home_that_is_back_begins_anew),
-        cmocka_unit_test(test_callers_change_nodes),
+        cmocka_unit_test(test_isolated_home_leaves_fallback_rates),
+        cmocka_unit_test(test_returned_home_restarts_account),
+        cmocka_unit_test(test_callers_move_between_nodes),
         cmocka_unit_test(test_deputy_becomes_home),
-        cmocka_unit_test(test_suspicions_come_and_go),
-        cmocka_unit_test(test_asks_that_come_late),
-        cmocka_unit_test(test_new_home_gets_what_was_saved),
-        cmocka_unit_test(test_saved_tokens_last_until_a_dealer_answers),
+        cmocka_unit_test(test_brief_suspicions),
+        cmocka_unit_test(test_late_claims),
+        cmocka_unit_test(test_new_home_receives_saved_tokens),
+        cmocka_unit_test(test_saved_tokens_are_kept_until_an_issuer_answers),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
