--- a/tests/route/test_decision.c
+++ b/tests/route/test_decision.c
@@ -1,4 +1,4 @@
-/** Stop rules, replica choice, hedge times, budgets and admission. */
+/** Stop rules, replica selection, hedging, load shedding, admission and key routing. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 #include "tealspar/admission.h"
 #include "tealspar/route.h"
 
-static const ts_policy_t *adaptive(void)
+static const ts_policy_t *adaptive_policy(void)
 {
     return ts_plugin_find(TS_PLUGIN_POLICY, "adaptive");
 }
@@ -22,7 +22,7 @@
         }
     }
     ts_stop_input_t input = {&selector, &latencies, 10, covered, possible, elapsed_us, 100000};
-    return adaptive()->stop(&input);
+    return adaptive_policy()->stop(&input);
 }
 
 static void test_stop_rules(void **state)
@@ -39,10 +39,10 @@
     assert_int_equal(stop_at(TS_WAIT_GAIN, 7, 3, 20000), TS_STOP_WAIT);
 }
 
-static void test_least_shards_rounds_up_but_not_over(void **state)
+static void test_min_shards_rounds_up(void **state)
 {
     ts_selector_t selector = {.least_coverage_percent = 99.9};
-    assert_int_equal(ts_route_min_shards(&selector, 1000), 999);
+    assert_int_equal(ts_route_min_shards(&selector, 1000), 999); /* despite rounding errors */
     selector.least_coverage_percent = 91;
     assert_int_equal(ts_route_min_shards(&selector, 10), 10);
     selector.least_coverage_percent = 0;
@@ -52,17 +52,17 @@
 static int choose(ts_candidate_t *candidates, size_t count, uint64_t wanted)
 {
     ts_choice_input_t input = {candidates, count, wanted, 12345};
-    return adaptive()->choose(&input);
+    return adaptive_policy()->choose(&input);
 }
 
-static void test_choice_prefers_expected_finish(void **state)
+static void test_choice_prefers_earliest_finish(void **state)
 {
     ts_candidate_t candidates[2] = {{.slots = 4, .service_us = 2000, .same_zone = true},
                                     {.slots = 4, .service_us = 2000, .same_zone = true}};
     candidates[0].slots_in_use = 4;
     candidates[0].queue_length = 8;
     assert_int_equal(choose(candidates, 2, 0), 1);
-    candidates[0].hint_age_us = 60 * TS_US_PER_S; /* an old hint says nothing */
+    candidates[0].hint_age_us = 60 * TS_US_PER_S; /* the reported load has decayed */
     candidates[1].in_flight = 8;
     assert_int_equal(choose(candidates, 2, 0), 0);
     candidates[0].avoid = true;
@@ -81,12 +81,12 @@
     assert_int_equal(choose(candidates, 2, 2), 1);
 }
 
-static void test_never_hedges_unrepeatable(void **state)
+static void test_unrepeatable_is_never_hedged(void **state)
 {
     ts_histogram_t latencies = {0};
     ts_selector_t selector = {.hedge_percent = 5, .unrepeatable = true};
     ts_hedge_input_t input = {&selector, &latencies, 100000};
-    assert_true(adaptive()->hedge_after_us(&input) == TS_HEDGE_NEVER);
+    assert_true(adaptive_policy()->hedge_after_us(&input) == TS_HEDGE_NEVER);
     const ts_policy_t *fixed = ts_plugin_find(TS_PLUGIN_POLICY, "fixed-hedge");
     assert_true(fixed->hedge_after_us(&input) == TS_HEDGE_NEVER);
 }
@@ -101,28 +101,28 @@
     ts_budget_credit(&budget, 5, 20);
     assert_true(ts_budget_spend(&budget));
     assert_false(ts_budget_spend(&budget));
-    ts_budget_credit(&budget, 5, 100000); /* never more than the burst */
+    ts_budget_credit(&budget, 5, 100000); /* up to the burst */
     assert_true(ts_budget_spend(&budget));
     assert_true(ts_budget_spend(&budget));
     assert_false(ts_budget_spend(&budget));
 }
 
-static void test_pass_falls_under_overload_and_recovers(void **state)
+static void test_shedder_adapts_to_overload(void **state)
 {
-    ts_shedder_t pass;
-    ts_shedder_init(&pass);
-    assert_true(ts_shedder_admits(&pass, UINT64_MAX));
+    ts_shedder_t shedder;
+    ts_shedder_init(&shedder);
+    assert_true(ts_shedder_admits(&shedder, UINT64_MAX));
     for (int i = 0; i < 1000; i++) {
-        ts_shedder_record(&pass, true);
+        ts_shedder_record(&shedder, true);
     }
-    assert_true(pass.admit_ratio ==
-                TS_SHEDDER_MIN_RATIO); /* some always pass, to find out when it is over */
-    assert_false(ts_shedder_admits(&pass, UINT64_MAX));
-    assert_true(ts_shedder_admits(&pass, 0));
+    // Some queries are always admitted, to detect the end of the overload.
+    assert_true(shedder.admit_ratio == TS_SHEDDER_MIN_RATIO);
+    assert_false(ts_shedder_admits(&shedder, UINT64_MAX));
+    assert_true(ts_shedder_admits(&shedder, 0));
     for (int i = 0; i < 1000; i++) {
-        ts_shedder_record(&pass, false);
+        ts_shedder_record(&shedder, false);
     }
-    assert_true(pass.admit_ratio == 1.0);
+    assert_true(shedder.admit_ratio == 1.0);
     assert_true(ts_route_is_overload(TS_E_QUEUE_FULL));
     assert_false(ts_route_is_overload(TS_E_PEER_LOST));
 }
@@ -136,7 +136,7 @@
                                   .service_us = 2000,
                                   .left_us = 50000};
     assert_int_equal(ts_admission_decide(&input, &error), TS_ADMIT_RUN);
-    input.kind_in_use = 4; /* four of five slots are its share */
+    input.kind_in_use = 4; /* uses its share, 80% of five slots */
     input.slots_in_use = 4;
     assert_int_equal(ts_admission_decide(&input, &error), TS_ADMIT_QUEUE);
     input.queue_ahead = 200;
@@ -150,47 +150,47 @@
     assert_int_equal(error, TS_E_PAST_DEADLINE);
 }
 
-static void test_waiting_raises_the_rank(void **state)
+static void test_rank_rises_with_waiting_time(void **state)
 {
     assert_true(ts_admission_rank(9, 0) > ts_admission_rank(3, 0));
     assert_true(ts_admission_rank(3, 1000000) > ts_admission_rank(9, 0));
 }
 
-static void test_key_routing_moves_little(void **state)
+static void test_keys_move_only_to_new_shard(void **state)
 {
     ts_declarations_t *before = test_load(test_declarations_text);
-    char *text = test_replace(test_declarations_text, "labels: [service=a], shards: 2",
-                              "labels: [service=a], shards: 3");
-    char *held = test_replace(text, "shards: [one/0],", "shards: [one/0, one/2],");
-    ts_declarations_t *after = test_load(held);
-    const ts_selector_t *old = ts_declarations_selector(before, "keyed");
-    const ts_selector_t *new = ts_declarations_selector(after, "keyed");
+    char *resized_text = test_replace(test_declarations_text, "labels: [service=a], shards: 2",
+                                      "labels: [service=a], shards: 3");
+    char *after_text = test_replace(resized_text, "shards: [one/0],", "shards: [one/0, one/2],");
+    ts_declarations_t *after = test_load(after_text);
+    const ts_selector_t *old_selector = ts_declarations_selector(before, "keyed");
+    const ts_selector_t *new_selector = ts_declarations_selector(after, "keyed");
     for (int i = 0; i < 1000; i++) {
         char key[16];
         g_snprintf(key, sizeof(key), "key-%d", i);
-        uint32_t was = ts_route_shard_of_key(before, old, key);
-        uint32_t is = ts_route_shard_of_key(after, new, key);
-        assert_true(is == was || is == 2); /* a key stays, or goes to the new shard */
+        uint32_t old_shard = ts_route_shard_of_key(before, old_selector, key);
+        uint32_t new_shard = ts_route_shard_of_key(after, new_selector, key);
+        assert_true(new_shard == old_shard || new_shard == 2); /* 2: the new shard */
     }
     ts_declarations_unref(before);
     ts_declarations_unref(after);
-    g_free(held);
-    g_free(text);
+    g_free(after_text);
+    g_free(resized_text);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_stop_rules),
-        cmocka_unit_test(test_least_shards_rounds_up_but_not_over),
-        cmocka_unit_test(test_choice_prefers_expected_finish),
+        cmocka_unit_test(test_min_shards_rounds_up),
+        cmocka_unit_test(test_choice_prefers_earliest_finish),
         cmocka_unit_test(test_choice_prefers_wanted_snapshot),
-        cmocka_unit_test(test_never_hedges_unrepeatable),
+        cmocka_unit_test(test_unrepeatable_is_never_hedged),
         cmocka_unit_test(test_budget),
-        cmocka_unit_test(test_pass_falls_under_overload_and_recovers),
+        cmocka_unit_test(test_shedder_adapts_to_overload),
         cmocka_unit_test(test_admission),
-        cmocka_unit_test(test_waiting_raises_the_rank),
-        cmocka_unit_test(test_key_routing_moves_little),
+        cmocka_unit_test(test_rank_rises_with_waiting_time),
+        cmocka_unit_test(test_keys_move_only_to_new_shard),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/route/test_gateway_decisions.c
+++ b/tests/route/test_gateway_decisions.c
@@ -1,4 +1,7 @@
-/** The gateway's pure decisions: quantiles, split, records, replica. */
+/**
+ * Decisions of the gateway that need no sockets: quantiles, weighted split, caller timeouts, top
+ * records, replica selection, warm-up limits and connection shares.
+ */
 #include "../test_support.h"
 
 #include <math.h>
@@ -13,7 +16,7 @@
 
 #define MS TS_US_PER_MS
 
-static void test_quantile_follows(void **state)
+static void test_quantile_converges(void **state)
 {
     ts_quantile_t quantile;
     GRand *random = g_rand_new_with_seed(3);
@@ -25,9 +28,11 @@
     g_rand_free(random);
 }
 
-/* With three of ten instances eight times slower the latest tenth is theirs (found on the bench).
+/*
+ * With three of ten instances eight times slower, the slowest tenth of the response times is
+ * theirs. It must not set the overdue time, or hardly any of their requests would become overdue.
  */
-static void test_overdue_is_not_the_slow_ones(void **state)
+static void test_overdue_time_with_slow_instances(void **state)
 {
     ts_route_state_t *route_state = ts_route_state_create(250);
     GRand *random = g_rand_new_with_seed(8);
@@ -54,7 +59,7 @@
     unsigned counts[4] = {0};
     for (int i = 1; i <= 200; i++) {
         counts[ts_route_state_next_target(route_state, route)[0] - 'a']++;
-        assert_true(fabs(counts[0] - 0.70 * i) <= 1.0); /* at every moment, not only at the end */
+        assert_true(fabs(counts[0] - 0.70 * i) <= 1.0); /* after every request */
     }
     assert_int_equal(counts[0], 140);
     assert_int_equal(counts[1], 50);
@@ -64,14 +69,14 @@
     ts_traffic_unref(traffic);
 }
 
-/* Many nodes with one request each keep to the weights together. */
+/* Many nodes with one request each follow the weights in total. */
 static void test_split_of_many_nodes_follows_weights(void **state)
 {
     enum { NODES = 95, REQUESTS = 1 };
     ts_traffic_t *traffic = ts_traffic_create(1);
     ts_traffic_route_t *route = ts_traffic_add_route(traffic);
     GRand *random = g_rand_new_with_seed(5);
-    unsigned firsts = 0;
+    unsigned first_count = 0;
     route->kind = TS_TARGET_SPLIT;
     ts_traffic_route_add_target(route, "a", 0.7);
     ts_traffic_route_add_target(route, "b", 0.3);
@@ -79,49 +84,49 @@
         ts_route_state_t *route_state = ts_route_state_create(100);
         ts_route_state_set_phase(route_state, g_rand_int(random));
         for (int i = 0; i < REQUESTS; i++)
-            firsts += ts_route_state_next_target(route_state, route)[0] == 'a';
+            first_count += ts_route_state_next_target(route_state, route)[0] == 'a';
         ts_route_state_free(route_state);
     }
-    assert_true(fabs((double)firsts / (NODES * REQUESTS) - 0.7) < 0.1);
+    assert_true(fabs((double)first_count / (NODES * REQUESTS) - 0.7) < 0.1);
     g_rand_free(random);
     ts_traffic_unref(traffic);
 }
 
-/* One caller with a huge deadline, or none, does not make others look as if they had returned. */
-static void test_unusual_patience_is_passed_over(void **state)
+/* A few callers with a huge timeout, or with none, do not make others look like retries. */
+static void test_outlier_timeouts_are_ignored(void **state)
 {
-    ts_caller_timeouts_t patience = {0};
-    assert_false(ts_caller_timeouts_is_retry(&patience, 100)); /* nothing is known */
+    ts_caller_timeouts_t timeouts = {0};
+    assert_false(ts_caller_timeouts_is_retry(&timeouts, 100)); /* no timeout seen yet */
     for (int i = 0; i < 100; i++) {
-        ts_caller_timeouts_add(&patience, i % 12 == 5 ? 3600000 : 4000);
-        ts_caller_timeouts_add(&patience, 0);
+        ts_caller_timeouts_add(&timeouts, i % 12 == 5 ? 3600000 : 4000);
+        ts_caller_timeouts_add(&timeouts, 0);
         if (i > 8)
-            assert_int_equal(ts_caller_timeouts_typical_ms(&patience), 4000);
+            assert_int_equal(ts_caller_timeouts_typical_ms(&timeouts), 4000);
     }
-    assert_false(ts_caller_timeouts_is_retry(&patience, 4000));
-    assert_false(ts_caller_timeouts_is_retry(&patience, 0));
-    assert_true(ts_caller_timeouts_is_retry(&patience, 2500));
+    assert_false(ts_caller_timeouts_is_retry(&timeouts, 4000));
+    assert_false(ts_caller_timeouts_is_retry(&timeouts, 0));
+    assert_true(ts_caller_timeouts_is_retry(&timeouts, 2500));
 }
 
-/* Most of the latest have returned: they are still told from the others; a change is followed. */
-static void test_patience_follows_the_callers(void **state)
+/* Retries are recognized even if most of the latest requests are; a new timeout is learned. */
+static void test_typical_timeout_follows_the_callers(void **state)
 {
-    ts_caller_timeouts_t patience = {0};
+    ts_caller_timeouts_t timeouts = {0};
     for (int i = 0; i < 64; i++)
-        ts_caller_timeouts_add(&patience, i % 5 == 0 ? 4000 : 2200);
-    assert_true(ts_caller_timeouts_is_retry(&patience, 2200));
+        ts_caller_timeouts_add(&timeouts, i % 5 == 0 ? 4000 : 2200);
+    assert_true(ts_caller_timeouts_is_retry(&timeouts, 2200));
     for (int i = 0; i < 64; i++)
-        ts_caller_timeouts_add(&patience, 1000);
-    assert_int_equal(ts_caller_timeouts_typical_ms(&patience), 1000);
-    assert_false(ts_caller_timeouts_is_retry(&patience, 1000));
+        ts_caller_timeouts_add(&timeouts, 1000);
+    assert_int_equal(ts_caller_timeouts_typical_ms(&timeouts), 1000);
+    assert_false(ts_caller_timeouts_is_retry(&timeouts, 1000));
 }
 
-static gint compare_falling(gconstpointer left, gconstpointer right)
+static gint compare_descending(gconstpointer left, gconstpointer right)
 {
     return memcmp(*(char *const *)right, *(char *const *)left, TS_RECORD_BYTES);
 }
 
-/* Against sorting everything. */
+/* Compares with a sort of all records. */
 static void test_records_agree_with_a_full_sort(void **state)
 {
     GRand *random = g_rand_new_with_seed(5);
@@ -138,7 +143,8 @@
                 for (unsigned b = 0; b < TS_RECORD_BYTES; b++) {
                     record[b] = (char)(b < 14 ? 200 : g_rand_int_range(random, 0, 3));
                 }
-                record[0] = (char)g_rand_int_range(random, 126, 130); /* the sign bit of a char */
+                /* on both sides of 128, as bytes compare unsigned */
+                record[0] = (char)g_rand_int_range(random, 126, 130);
                 g_ptr_array_add(all, record);
                 g_string_append_len(bytes, record, TS_RECORD_BYTES);
             }
@@ -146,7 +152,7 @@
             ts_top_records_add(&records, bytes->str, bytes->len);
             g_string_free(bytes, TRUE);
         }
-        g_ptr_array_sort(all, compare_falling);
+        g_ptr_array_sort(all, compare_descending);
         GString *out = g_string_new(NULL);
         ts_top_records_finish(&records, out);
         size_t expected = all->len < top ? all->len : top;
@@ -163,7 +169,7 @@
 
 /* -- Replica ----------------------------------------------------------------------------------- */
 
-static ts_instance_t *add(ts_registry_t *registry, const char *id, const char *zone)
+static ts_instance_t *add_instance(ts_registry_t *registry, const char *id, const char *zone)
 {
     ts_instance_record_t record = {g_strdup(id),   0, g_strdup("s"), g_strdup("127.0.0.1:80"),
                                    g_strdup(zone), 4, false,         0};
@@ -173,7 +179,7 @@
     return g_ptr_array_index(service->instances, service->instances->len - 1);
 }
 
-static GHashTable *two_regions(void)
+static GHashTable *make_two_regions(void)
 {
     GHashTable *zones = g_hash_table_new(g_str_hash, g_str_equal);
     g_hash_table_insert(zones, "z1", "r1");
@@ -182,7 +188,7 @@
     return zones;
 }
 
-static ts_instance_t *choose(ts_registry_t *registry, ts_time_us_t now_us)
+static ts_instance_t *choose_instance(ts_registry_t *registry, ts_time_us_t now_us)
 {
     ts_replica_input_t input = {20000, now_us, 2000 * MS, 20, 4, 17, NULL};
     return ts_replica_choose(ts_registry_ensure_service(registry, "s"), &input, NULL, 0);
@@ -190,26 +196,26 @@
 
 static void test_replica_prefers_near_and_free(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *far = add(registry, "far", "z3");
-    ts_instance_t *near = add(registry, "near", "z1");
-    ts_instance_t *next = add(registry, "next", "z2");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *far = add_instance(registry, "far", "z3");
+    ts_instance_t *near = add_instance(registry, "near", "z1");
+    ts_instance_t *next = add_instance(registry, "next", "z2");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
-    assert_ptr_equal(choose(registry, now_us), near);
+    assert_ptr_equal(choose_instance(registry, now_us), near);
     near->in_flight = 6;
-    assert_ptr_equal(choose(registry, now_us), next);
+    assert_ptr_equal(choose_instance(registry, now_us), next);
     ts_instance_note_failure(next, now_us);
     near->in_flight = 12;
-    assert_ptr_equal(choose(registry, now_us), far);
+    assert_ptr_equal(choose_instance(registry, now_us), far);
 }
 
-// A long link is learned from connections, in spite of some that waited for a busy back end.
-static void test_travel_is_measured(void **state)
+// The time is learned from connection set-up, although some connections wait for a busy backend.
+static void test_round_trip_time_is_learned(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
-    ts_instance_t *next = add(registry, "next", "z2");
-    ts_instance_t *far = add(registry, "far", "z3");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
+    ts_instance_t *next = add_instance(registry, "next", "z2");
+    ts_instance_t *far = add_instance(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     assert_true(ts_registry_rtt_max_us(registry) < 30 * MS);
     for (int i = 0; i < 200; i++) {
@@ -221,70 +227,72 @@
     assert_true(ts_rtt_estimate_us(next->rtt) > 50 * MS && ts_rtt_estimate_us(next->rtt) < 70 * MS);
     assert_true(ts_registry_rtt_max_us(registry) > 50 * MS);
     near->in_flight = 12;
-    assert_ptr_equal(choose(registry, now_us), far); // the zone of the same region is further
+    // The other zone of the region is farther away than the other region.
+    assert_ptr_equal(choose_instance(registry, now_us), far);
 }
 
-// An instance that fails part of its requests, however fast, is asked less, and again later.
-static void test_failing_instance_is_left(void **state)
+// An instance that fails some requests, however fast, is avoided until the evidence has decayed.
+static void test_failing_instance_is_avoided(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
-    ts_instance_t *far = add(registry, "far", "z3");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
+    ts_instance_t *far = add_instance(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     for (int i = 0; i < 6; i++) {
         ts_instance_note_result(near, i % 2 == 0, now_us);
         ts_instance_note_result(far, false, now_us);
     }
-    assert_ptr_equal(choose(registry, now_us), far);
-    assert_ptr_equal(choose(registry, now_us + 20 * TS_US_PER_S), near);
+    assert_ptr_equal(choose_instance(registry, now_us), far);
+    assert_ptr_equal(choose_instance(registry, now_us + 20 * TS_US_PER_S), near);
 }
 
-/* Only instances of the permitted regions are chosen, however busy or far they are. */
-static void test_placement_binds_the_choice(void **state)
+/* Only instances in allowed regions are chosen, even if they are busy or distant. */
+static void test_placement_restricts_the_choice(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
-    ts_instance_t *far = add(registry, "far", "z3");
-    ts_instance_t *stray = add(registry, "stray", "z9"); /* of a zone that no setting names */
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
+    ts_instance_t *far = add_instance(registry, "far", "z3");
+    ts_instance_t *unlocated = add_instance(registry, "stray", "z9"); /* zone without region */
     ts_service_t *service = ts_registry_ensure_service(registry, "s");
     GPtrArray *regions = g_ptr_array_new();
     g_ptr_array_add(regions, (gpointer)g_intern_string("r2"));
     ts_replica_input_t input = {20000, 100 * TS_US_PER_S, 2000 * MS, 20, 4, 17, regions};
     assert_ptr_equal(ts_replica_choose(service, &input, NULL, 0), far);
     assert_int_equal(ts_replica_find_exclusion(near, &input), TS_EXCLUSION_PLACEMENT);
-    assert_int_equal(ts_replica_find_exclusion(stray, &input), TS_EXCLUSION_PLACEMENT);
-    assert_null(ts_replica_choose(service, &input, &far, 1)); /* nor when it is sent again */
+    assert_int_equal(ts_replica_find_exclusion(unlocated, &input), TS_EXCLUSION_PLACEMENT);
+    assert_null(ts_replica_choose(service, &input, &far, 1)); /* nor for a retry */
     far->in_flight = 20;
     assert_null(ts_replica_choose(service, &input, NULL, 0));
     assert_false(ts_replica_is_any_free(service, &input));
-    assert_false(ts_replica_is_excluded(service, &input)); /* full, not ruled out */
+    assert_false(ts_replica_is_excluded(service, &input)); /* full, but not excluded */
     g_ptr_array_index(regions, 0) = (gpointer)g_intern_string("elsewhere");
     assert_true(ts_replica_is_excluded(service, &input));
     g_ptr_array_unref(regions);
 }
 
-/* A zone that is evacuated gets nothing, also by instances that come meanwhile, until the end. */
+/* An evacuated zone gets no requests until the end, even if instances are added meanwhile. */
 static void test_evacuated_zone_gets_nothing(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
-    ts_instance_t *far = add(registry, "far", "z3");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
+    ts_instance_t *far = add_instance(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     ts_registry_ensure_service(registry, "s")->warmup_us = 3 * TS_US_PER_S;
     ts_registry_ensure_service(registry, "s")->warmup_rate = 10;
     ts_registry_set_evacuated(registry, "z1", true, now_us);
-    assert_ptr_equal(choose(registry, now_us), far);
-    const ts_instance_t *late = add(registry, "late", "z1");
+    assert_ptr_equal(choose_instance(registry, now_us), far);
+    const ts_instance_t *late = add_instance(registry, "late", "z1");
     assert_true(late->is_evacuated);
-    assert_ptr_equal(choose(registry, now_us), far);
+    assert_ptr_equal(choose_instance(registry, now_us), far);
     ts_registry_set_evacuated(registry, "z1", false, now_us + 5 * TS_US_PER_S);
     assert_false(near->is_evacuated);
-    assert_int_equal(near->warm_at_us, now_us + 8 * TS_US_PER_S); /* may have turned cold */
+    /* Warms up again, as it may have turned cold. */
+    assert_int_equal(near->warm_at_us, now_us + 8 * TS_US_PER_S);
     assert_false(ts_registry_is_evacuated(registry, "z1"));
 }
 
-/* Whatever nodes think of the fleet, together they stay within what a cold instance bears. */
-static void test_cold_shares_sum_to_less_than_the_bound(void **state)
+/* Whatever their views of the fleet, all nodes together stay within a cold instance's limit. */
+static void test_cold_shares_stay_within_the_limit(void **state)
 {
     const ts_cold_rule_t rule = {1.5, 5};
     static const unsigned sizes[] = {1, 3, 9, 95, 300, 1000};
@@ -294,10 +302,10 @@
             double bound = rates[j] * rule.overrun + rule.slack;
             uint32_t sum = 0;
             uint32_t sum_after_loss = 0;
-            for (unsigned place = 0; place < sizes[i]; place++) {
-                ts_fleet_index_t fleet = {sizes[i], place, true};
+            for (unsigned index = 0; index < sizes[i]; index++) {
+                ts_fleet_index_t fleet = {sizes[i], index, true};
                 sum += ts_cold_share(&rule, rates[j], &fleet);
-                /* Each sees itself alone: all of them believe that they are the first. */
+                /* Each node sees no other live node, so that all of them assume index 0. */
                 ts_fleet_index_t alone = {sizes[i], 0, false};
                 sum_after_loss += ts_cold_share(&rule, rates[j], &alone);
             }
@@ -307,8 +315,8 @@
     }
 }
 
-/* A node keeps to its share in every second, however the requests fall. */
-static void test_cold_window_holds_in_every_second(void **state)
+/* A node stays within its share in every second, whatever the arrival times. */
+static void test_cold_share_holds_in_every_second(void **state)
 {
     GRand *random = g_rand_new_with_seed(23);
     enum { SPAN_MS = 30000 };
@@ -329,33 +337,33 @@
         assert_true(sum <= window.share);
         total += sent[begin];
     }
-    assert_true(total > 30); /* and it is used */
+    assert_true(total > 30); /* the share is used */
     g_rand_free(random);
 }
 
-static void test_cold_instance_takes_its_share(void **state)
+static void test_cold_instance_is_limited_to_share(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
-    ts_instance_t *far = add(registry, "far", "z3");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
+    ts_instance_t *far = add_instance(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     near->service->warmup_rate = 10;
     near->warm_at_us = now_us + 3 * TS_US_PER_S;
     near->cold.share = 1;
-    assert_ptr_equal(choose(registry, now_us), near);
+    assert_ptr_equal(choose_instance(registry, now_us), near);
     ts_instance_note_sent(near, now_us);
-    assert_ptr_equal(choose(registry, now_us + 900 * MS), far);
-    assert_ptr_equal(choose(registry, now_us + 1600 * MS), near);
+    assert_ptr_equal(choose_instance(registry, now_us + 900 * MS), far);
+    assert_ptr_equal(choose_instance(registry, now_us + 1600 * MS), near);
     ts_instance_note_sent(near, now_us + 1600 * MS);
-    assert_ptr_equal(choose(registry, now_us + 3100 * MS), near); /* warm again */
+    assert_ptr_equal(choose_instance(registry, now_us + 3100 * MS), near); /* the warm-up is over */
 }
 
-/* An idle instance that refuses part of its requests is asked less, and again later. */
-static void test_refusing_instance_is_left(void **state)
+/* An idle instance that refuses some requests is avoided until the evidence has decayed. */
+static void test_refusing_instance_is_avoided(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
-    ts_instance_t *far = add(registry, "far", "z3");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
+    ts_instance_t *far = add_instance(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     for (int i = 0; i < 6; i++) {
         now_us += 500 * MS;
@@ -364,15 +372,18 @@
         else
             ts_instance_note_refusal(near, now_us);
     }
-    assert_ptr_equal(choose(registry, now_us + 100 * MS), far);
-    assert_ptr_equal(choose(registry, now_us + 20 * TS_US_PER_S), near);
+    assert_ptr_equal(choose_instance(registry, now_us + 100 * MS), far);
+    assert_ptr_equal(choose_instance(registry, now_us + 20 * TS_US_PER_S), near);
 }
 
-/* A full instance that refuses is not a failing one: it is told by its load, or by its answers. */
-static void test_full_instance_is_no_failing_one(void **state)
+/*
+ * Refusals of a full instance do not count as failures. Whether it is full is known from the load
+ * that it reports or, if it reports none, from the times of its answers.
+ */
+static void test_refusals_of_full_instance_are_not_failures(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     near->reported_load = (ts_reported_load_t){4, 12, 4, now_us};
     ts_instance_note_refusal(near, now_us);
@@ -381,8 +392,8 @@
     near->reported_load = (ts_reported_load_t){1, 0, 4, now_us};
     ts_instance_note_refusal(near, now_us);
     assert_true(ts_instance_failure_rate(near, now_us) > 0.2);
-    assert_true(near->limit == limit);                 /* it could take more */
-    ts_instance_t *next = add(registry, "next", "z2"); /* tells nothing */
+    assert_true(near->limit == limit);                          /* it is not full */
+    ts_instance_t *next = add_instance(registry, "next", "z2"); /* reports no load */
     ts_instance_note_answer(next, now_us, 20000, 20000);
     ts_instance_note_answer(next, now_us + 900 * MS, 150000, 20000);
     ts_instance_note_refusal(next, now_us + 1200 * MS);
@@ -392,50 +403,51 @@
     assert_true(ts_instance_failure_rate(next, now_us + 2100 * MS) > 0.2);
 }
 
-static void test_suspected_until_it_answers(void **state)
+static void test_suspicion_ends_with_an_answer(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
-    ts_instance_t *far = add(registry, "far", "z3");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
+    ts_instance_t *far = add_instance(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     ts_instance_note_overdue(near, now_us - 50 * MS, now_us);
-    assert_ptr_equal(choose(registry, now_us), far);
-    assert_ptr_equal(choose(registry, now_us + 900 * MS), far);
-    assert_ptr_equal(choose(registry, now_us + 1100 * MS), near); /* one trial */
-    assert_ptr_equal(choose(registry, now_us + 1101 * MS), far);
+    assert_ptr_equal(choose_instance(registry, now_us), far);
+    assert_ptr_equal(choose_instance(registry, now_us + 900 * MS), far);
+    assert_ptr_equal(choose_instance(registry, now_us + 1100 * MS), near); /* one probe request */
+    assert_ptr_equal(choose_instance(registry, now_us + 1101 * MS), far);
     ts_instance_note_answer(near, now_us + 1200 * MS, 20000, 20000);
-    assert_ptr_equal(choose(registry, now_us + 1200 * MS), near);
-    /* Something sent before its last answer proves nothing. */
+    assert_ptr_equal(choose_instance(registry, now_us + 1200 * MS), near);
+    /* An overdue request that was sent before the last answer is no reason for suspicion. */
     ts_instance_note_overdue(near, now_us + 1100 * MS, now_us + 1300 * MS);
-    assert_ptr_equal(choose(registry, now_us + 1300 * MS), near);
+    assert_ptr_equal(choose_instance(registry, now_us + 1300 * MS), near);
 }
 
-/* A pause makes one or two answers late; a slow instance makes all of them late. */
-static void test_slow_is_told_from_paused(void **state)
+/* A pause delays a few answers, a slow instance delays all of them. */
+static void test_slow_is_distinguished_from_paused(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
-    ts_instance_t *far = add(registry, "far", "z3");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
+    ts_instance_t *far = add_instance(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     ts_instance_note_answer(near, now_us, 300000, 20000);
-    assert_ptr_equal(choose(registry, now_us), near);
-    for (int i = 0; i < 5; i++) { /* sent during the same pause: one sign */
+    assert_ptr_equal(choose_instance(registry, now_us), near);
+    for (int i = 0; i < 5; i++) { /* delayed by the same pause: counted as one */
         ts_instance_note_answer(near, now_us, 160000, 20000);
     }
-    assert_ptr_equal(choose(registry, now_us), near);
-    for (int i = 0; i < 5; i++) { /* one after another */
+    assert_ptr_equal(choose_instance(registry, now_us), near);
+    for (int i = 0; i < 5; i++) { /* at intervals */
         now_us += 200 * MS;
         ts_instance_note_answer(near, now_us, 160000, 20000);
     }
-    assert_ptr_equal(choose(registry, now_us), far);
-    assert_ptr_equal(choose(registry, now_us + 20 * TS_US_PER_S), near); /* beliefs fade */
+    assert_ptr_equal(choose_instance(registry, now_us), far);
+    /* The evidence has decayed. */
+    assert_ptr_equal(choose_instance(registry, now_us + 20 * TS_US_PER_S), near);
 }
 
-/* A good answer long after bad ones does not bring back what had faded (it did). */
-static void test_faded_slowness_stays_faded(void **state)
+/* A normal answer must not restore slowness that has decayed since late answers. */
+static void test_decayed_slowness_does_not_return(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     for (int i = 0; i < 8; i++)
         ts_instance_note_answer(near, now_us += 300 * MS, 200000, 20000);
@@ -445,35 +457,37 @@
     assert_true(ts_instance_latency_ratio(near, now_us) < 1.5);
 }
 
-/* Late answers that were out together are one sign, one after another they make an instance slow.
- */
-static void test_late_answers_at_once_count_once(void **state)
+/* Late answers to concurrent requests count as one; at intervals they make an instance slow. */
+static void test_concurrent_late_answers_count_once(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
-    ts_instance_t *far = add(registry, "far", "z3");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
+    ts_instance_t *far = add_instance(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     for (int i = 0; i < 10; i++)
         ts_instance_note_answer(near, now_us + (ts_time_us_t)i * MS, 150.0 * MS, 20.0 * MS);
-    assert_ptr_equal(choose(registry, now_us + 10 * MS), near);
+    assert_ptr_equal(choose_instance(registry, now_us + 10 * MS), near);
     for (int i = 0; i < 5; i++)
         ts_instance_note_answer(near, now_us += 200 * MS, 150.0 * MS, 20.0 * MS);
-    assert_ptr_equal(choose(registry, now_us), far);
+    assert_ptr_equal(choose_instance(registry, now_us), far);
 }
 
-/* The limit falls with late answers and refusals, rises again, and leaves the slots' share free. */
+/*
+ * Late answers and refusals lower the limit of requests in flight, normal answers raise it. It
+ * always allows this node's share of two requests per slot.
+ */
 static void test_limit_is_learned(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
     ts_replica_input_t input = {20000, 100 * TS_US_PER_S, 2000 * MS, 20, 4, 17, NULL};
     near->in_flight = 12;
     assert_false(ts_replica_is_full(near, &input));
-    for (int i = 0; i < 20; i++) { /* late, one settled step after another */
+    for (int i = 0; i < 20; i++) { /* late, and each after the limit has settled */
         ts_instance_note_answer(near, input.now_us += 100 * MS, 200000, 20000);
     }
     assert_true(ts_replica_is_full(near, &input));
-    near->in_flight = 2; /* two of four slots: what its share of them allows, at any rate */
+    near->in_flight = 2; /* within the share of each of two nodes */
     input.nodes = 2;
     assert_false(ts_replica_is_full(near, &input));
     near->in_flight = 3;
@@ -490,23 +504,26 @@
     assert_true(ts_replica_is_full(near, &input));
 }
 
-static void test_leaving_takes_nothing_after_the_bound(void **state)
+static void test_delisted_instance_gets_nothing_after_drain_time(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     ts_registry_remove(registry, "near", now_us);
-    assert_ptr_equal(choose(registry, now_us + 100 * MS), near); /* the last that is left */
-    assert_null(choose(registry, now_us + 2100 * MS));
+    assert_ptr_equal(choose_instance(registry, now_us + 100 * MS), near); /* the only instance */
+    assert_null(choose_instance(registry, now_us + 2100 * MS));
     ts_registry_sweep(registry, now_us + 11 * TS_US_PER_S);
     assert_int_equal(ts_registry_ensure_service(registry, "s")->instances->len, 0);
 }
 
-/* A request that waits for long may still name whom it asked (a crash on the bench, fresh-ab50). */
-static void test_remembered_instance_is_not_forgotten(void **state)
+/*
+ * A request that waits for a long time refers to the instances that it was sent to. Freeing one of
+ * them after it was delisted crashed the gateway.
+ */
+static void test_referenced_instance_is_kept(void **state)
 {
-    ts_registry_t *registry = ts_registry_create("z1", two_regions());
-    ts_instance_t *near = add(registry, "near", "z1");
+    ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
+    ts_instance_t *near = add_instance(registry, "near", "z1");
     near->references = 1;
     ts_registry_remove(registry, "near", TS_US_PER_S);
     ts_registry_sweep(registry, 20 * TS_US_PER_S);
@@ -516,17 +533,16 @@
     assert_null(ts_registry_find_current(registry, "near"));
 }
 
-/* What all nodes keep together stays within two thirds of the limit, and nothing of that is lost.
- */
+/* The idle connections of all nodes add up to exactly two thirds of the limit. */
 static void test_connection_shares_add_up(void **state)
 {
     static const unsigned limits[] = {1, 2, 41, 67, 76, 110, 480};
     for (size_t i = 0; i < G_N_ELEMENTS(limits); i++) {
         for (unsigned nodes = 1; nodes <= 120; nodes++) {
             uint32_t sum = 0;
-            for (unsigned place = 0; place < nodes; place++) {
-                uint32_t share = ts_connection_share(limits[i], nodes, place);
-                assert_true(place == 0 || share <= ts_connection_share(limits[i], nodes, 0));
+            for (unsigned index = 0; index < nodes; index++) {
+                uint32_t share = ts_connection_share(limits[i], nodes, index);
+                assert_true(index == 0 || share <= ts_connection_share(limits[i], nodes, 0));
                 sum += share;
             }
             assert_int_equal(sum, limits[i] * 2 / 3);
@@ -538,7 +554,8 @@
 {
     assert_int_equal(ts_connections_in_use_max(41, 9), 3);
     assert_int_equal(ts_connections_in_use_max(31, 24), 2);
-    assert_int_equal(ts_connections_in_use_max(66, 67), 1); // two each would be twice too many
+    // Two at each node would be twice the limit.
+    assert_int_equal(ts_connections_in_use_max(66, 67), 1);
     assert_int_equal(ts_connections_in_use_max(3, 1000), 1);
 }
 
@@ -546,32 +563,32 @@
 {
     ts_log_open("test", TS_LOG_TEXT, G_LOG_LEVEL_CRITICAL);
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_quantile_follows),
-        cmocka_unit_test(test_overdue_is_not_the_slow_ones),
+        cmocka_unit_test(test_quantile_converges),
+        cmocka_unit_test(test_overdue_time_with_slow_instances),
         cmocka_unit_test(test_split_follows_weights),
         cmocka_unit_test(test_split_of_many_nodes_follows_weights),
-        cmocka_unit_test(test_unusual_patience_is_passed_over),
-        cmocka_unit_test(test_patience_follows_the_callers),
+        cmocka_unit_test(test_outlier_timeouts_are_ignored),
+        cmocka_unit_test(test_typical_timeout_follows_the_callers),
         cmocka_unit_test(test_records_agree_with_a_full_sort),
         cmocka_unit_test(test_replica_prefers_near_and_free),
-        cmocka_unit_test(test_travel_is_measured),
-        cmocka_unit_test(test_failing_instance_is_left),
-        cmocka_unit_test(test_placement_binds_the_choice),
+        cmocka_unit_test(test_round_trip_time_is_learned),
+        cmocka_unit_test(test_failing_instance_is_avoided),
+        cmocka_unit_test(test_placement_restricts_the_choice),
         cmocka_unit_test(test_evacuated_zone_gets_nothing),
-        cmocka_unit_test(test_cold_shares_sum_to_less_than_the_bound),
-        cmocka_unit_test(test_cold_window_holds_in_every_second),
-        cmocka_unit_test(test_cold_instance_takes_its_share),
-        cmocka_unit_test(test_refusing_instance_is_left),
-        cmocka_unit_test(test_full_instance_is_no_failing_one),
-        cmocka_unit_test(test_suspected_until_it_answers),
-        cmocka_unit_test(test_slow_is_told_from_paused),
-        cmocka_unit_test(test_faded_slowness_stays_faded),
-        cmocka_unit_test(test_late_answers_at_once_count_once),
+        cmocka_unit_test(test_cold_shares_stay_within_the_limit),
+        cmocka_unit_test(test_cold_share_holds_in_every_second),
+        cmocka_unit_test(test_cold_instance_is_limited_to_share),
+        cmocka_unit_test(test_refusing_instance_is_avoided),
+        cmocka_unit_test(test_refusals_of_full_instance_are_not_failures),
+        cmocka_unit_test(test_suspicion_ends_with_an_answer),
+        cmocka_unit_test(test_slow_is_distinguished_from_paused),
+        cmocka_unit_test(test_decayed_slowness_does_not_return),
+        cmocka_unit_test(test_concurrent_late_answers_count_once),
         cmocka_unit_test(test_limit_is_learned),
-        cmocka_unit_test(test_remembered_instance_is_not_forgotten),
+        cmocka_unit_test(test_referenced_instance_is_kept),
         cmocka_unit_test(test_connection_shares_add_up),
         cmocka_unit_test(test_connections_in_use),
-        cmocka_unit_test(test_leaving_takes_nothing_after_the_bound),
+        cmocka_unit_test(test_delisted_instance_gets_nothing_after_drain_time),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/route/test_quarantine.c
+++ b/tests/route/test_quarantine.c
@@ -1,4 +1,4 @@
-/** The quarantine as pure decisions: states, their ends, bounds, and rows that merge. */
+/** Quarantine table: states, expiry, size limits, and rows merged from other nodes. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -9,17 +9,17 @@
 #define S TS_US_PER_S
 #define BEGIN_US (1000 * S)
 
-static ts_request_digest_t digest_of(uint32_t number)
+static ts_request_digest_t make_digest(uint32_t number)
 {
     ts_digest_piece_t piece = {(const char *)&number, sizeof(number)};
     return ts_request_digest(&piece, 1);
 }
 
-static void test_two_strikes_hold(void **state)
+static void test_two_strikes_quarantine(void **state)
 {
     ts_quarantine_t *q = ts_quarantine_create();
-    ts_request_digest_t one = digest_of(1);
-    ts_request_digest_t other = digest_of(2);
+    ts_request_digest_t one = make_digest(1);
+    ts_request_digest_t other = make_digest(2);
     assert_true(ts_quarantine_is_empty(q));
     ts_quarantine_suspect(q, &one, "a", BEGIN_US);
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US), TS_QUARANTINE_SUSPECT);
@@ -29,16 +29,16 @@
     ts_quarantine_strike(q, &one, "b", BEGIN_US + S, BEGIN_US + S);
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + S), TS_QUARANTINE_QUARANTINED);
     assert_int_equal(ts_quarantine_find(q, &other, BEGIN_US + S), TS_QUARANTINE_CLEAR);
-    ts_quarantine_suspect(q, &one, "a", BEGIN_US + 2 * S); // a send from before the verdict
+    ts_quarantine_suspect(q, &one, "a", BEGIN_US + 2 * S); // sent before the quarantine
     assert_string_equal(ts_quarantine_service(q, &one), "b");
     ts_quarantine_destroy(q);
 }
 
-/* Several tries of one request, each with its lone send out while back ends end. */
-static void test_sends_out_at_once_are_one_strike(void **state)
+/* Several attempts of one request, each with an isolated send in flight as backends crash. */
+static void test_concurrent_sends_are_one_strike(void **state)
 {
     ts_quarantine_t *q = ts_quarantine_create();
-    ts_request_digest_t one = digest_of(1);
+    ts_request_digest_t one = make_digest(1);
     ts_quarantine_strike(q, &one, "a", BEGIN_US, BEGIN_US + 10);
     ts_quarantine_strike(q, &one, "a", BEGIN_US, BEGIN_US + 10);
     ts_quarantine_strike(q, &one, "b", BEGIN_US + 5, BEGIN_US + 20);
@@ -48,11 +48,14 @@
     ts_quarantine_destroy(q);
 }
 
-/* Ten minutes, then one lone send decides: twice as long, or nothing speaks against it. */
-static void test_verdict_ends_by_time(void **state)
+/*
+ * A quarantine ends after ten minutes. One isolated send then decides: a crash starts a quarantine
+ * of twice the length, a successful response clears the entry.
+ */
+static void test_quarantine_expires(void **state)
 {
     ts_quarantine_t *q = ts_quarantine_create();
-    ts_request_digest_t one = digest_of(1);
+    ts_request_digest_t one = make_digest(1);
     ts_time_us_t now_us = BEGIN_US;
     ts_quarantine_strike(q, &one, "a", now_us, now_us);
     ts_quarantine_strike(q, &one, "a", now_us, now_us);
@@ -70,10 +73,10 @@
     ts_quarantine_destroy(q);
 }
 
-static void test_suspicion_is_forgotten(void **state)
+static void test_suspicion_expires(void **state)
 {
     ts_quarantine_t *q = ts_quarantine_create();
-    ts_request_digest_t one = digest_of(1);
+    ts_request_digest_t one = make_digest(1);
     ts_quarantine_suspect(q, &one, "a", BEGIN_US);
     ts_quarantine_expire(q, BEGIN_US + 600 * S);
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + 600 * S), TS_QUARANTINE_SUSPECT);
@@ -82,11 +85,14 @@
     ts_quarantine_destroy(q);
 }
 
-/* Only the service where back ends ended under it speaks for it; then all begins anew. */
-static void test_whole_run_clears(void **state)
+/*
+ * A request is cleared only by a successful response of the service whose backend crashed last.
+ * Strikes then count from zero.
+ */
+static void test_completion_clears(void **state)
 {
     ts_quarantine_t *q = ts_quarantine_create();
-    ts_request_digest_t one = digest_of(1);
+    ts_request_digest_t one = make_digest(1);
     ts_quarantine_suspect(q, &one, "a", BEGIN_US);
     ts_quarantine_strike(q, &one, "a", BEGIN_US, BEGIN_US);
     ts_quarantine_clear(q, &one, "b", BEGIN_US);
@@ -99,10 +105,10 @@
     ts_quarantine_destroy(q);
 }
 
-static void test_trial_keeps_others_waiting(void **state)
+static void test_only_one_trial_at_a_time(void **state)
 {
     ts_quarantine_t *q = ts_quarantine_create();
-    ts_request_digest_t one = digest_of(1);
+    ts_request_digest_t one = make_digest(1);
     ts_quarantine_suspect(q, &one, "a", BEGIN_US);
     ts_quarantine_begin_trial(q, &one, BEGIN_US);
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + S), TS_QUARANTINE_TRIAL);
@@ -111,7 +117,7 @@
     ts_quarantine_end_trial(q, &one, BEGIN_US + 2 * S);
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + 2 * S), TS_QUARANTINE_SUSPECT);
     ts_quarantine_begin_trial(q, &one, BEGIN_US + 2 * S);
-    ts_quarantine_strike(q, &one, "a", BEGIN_US + 2 * S, BEGIN_US + 2 * S); // its outcome
+    ts_quarantine_strike(q, &one, "a", BEGIN_US + 2 * S, BEGIN_US + 2 * S); // ends the trial
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + 2 * S), TS_QUARANTINE_SUSPECT);
     ts_quarantine_destroy(q);
 }
@@ -129,38 +135,38 @@
     return rows;
 }
 
-/* A hundred thousand different suspects take bounded room and push out nothing that is held. */
-static void test_flood_is_bounded(void **state)
+/* 100,000 different suspects take limited space and evict no quarantined entry. */
+static void test_number_of_suspects_is_limited(void **state)
 {
     ts_quarantine_t *q = ts_quarantine_create();
-    ts_request_digest_t held = digest_of(1);
-    ts_quarantine_strike(q, &held, "a", BEGIN_US, BEGIN_US);
-    ts_quarantine_strike(q, &held, "a", BEGIN_US, BEGIN_US);
-    uint64_t sum = ts_quarantine_checksum(q, BEGIN_US);
+    ts_request_digest_t quarantined = make_digest(1);
+    ts_quarantine_strike(q, &quarantined, "a", BEGIN_US, BEGIN_US);
+    ts_quarantine_strike(q, &quarantined, "a", BEGIN_US, BEGIN_US);
+    uint64_t checksum = ts_quarantine_checksum(q, BEGIN_US);
     for (uint32_t i = 2; i < 100002; i++) {
-        ts_request_digest_t digest = digest_of(i);
+        ts_request_digest_t digest = make_digest(i);
         ts_quarantine_suspect(q, &digest, "a", BEGIN_US + i);
     }
-    assert_int_equal(ts_quarantine_find(q, &held, BEGIN_US + S), TS_QUARANTINE_QUARANTINED);
+    assert_int_equal(ts_quarantine_find(q, &quarantined, BEGIN_US + S), TS_QUARANTINE_QUARANTINED);
     assert_int_equal(count_rows(q, UINT32_MAX / 2), 1025);
-    assert_int_equal(count_rows(q, 64), 65); // what is told when nodes differ
-    assert_true(ts_quarantine_checksum(q, BEGIN_US) == sum);
-    ts_request_digest_t latest = digest_of(100001);
+    assert_int_equal(count_rows(q, 64), 65); // sent to a node with a different checksum
+    assert_true(ts_quarantine_checksum(q, BEGIN_US) == checksum);
+    ts_request_digest_t latest = make_digest(100001);
     assert_int_equal(ts_quarantine_find(q, &latest, BEGIN_US + S), TS_QUARANTINE_SUSPECT);
     ts_quarantine_destroy(q);
 }
 
-/* Nothing that is held is pushed out by more that ought to be: those stay suspects. */
-static void test_held_are_bounded(void **state)
+/* When the table is full of quarantined entries, none is evicted and others stay suspects. */
+static void test_number_of_quarantined_is_limited(void **state)
 {
     ts_quarantine_t *q = ts_quarantine_create();
     for (uint32_t i = 0; i < 1100; i++) {
-        ts_request_digest_t digest = digest_of(i);
+        ts_request_digest_t digest = make_digest(i);
         ts_quarantine_strike(q, &digest, "a", BEGIN_US, BEGIN_US);
         ts_quarantine_strike(q, &digest, "a", BEGIN_US, BEGIN_US);
     }
     assert_int_equal(ts_quarantine_count(q, TS_QUARANTINE_QUARANTINED, BEGIN_US), 1024);
-    ts_request_digest_t last = digest_of(1099);
+    ts_request_digest_t last = make_digest(1099);
     assert_int_equal(ts_quarantine_find(q, &last, BEGIN_US), TS_QUARANTINE_SUSPECT);
     ts_quarantine_destroy(q);
 }
@@ -171,31 +177,31 @@
 #define DIGESTS 3
 #define STEPS 60
 
-typedef struct mail {
+typedef struct message {
     ts_quarantine_row_t row;
     unsigned to;
-} mail_t;
+} message_t;
 
 typedef struct sender {
-    GArray *mails; /* of mail_t, all that was ever told */
+    GArray *messages; /* of message_t, all that were ever sent */
     unsigned from;
 } sender_t;
 
-static void tell_others(void *ctx, const ts_quarantine_row_t *row)
+static void publish_to_others(void *ctx, const ts_quarantine_row_t *row)
 {
     sender_t *sender = ctx;
     for (unsigned i = 0; i < NODES; i++) {
-        mail_t mail = {*row, i};
-        mail.row.service = g_intern_string(row->service);
+        message_t message = {*row, i};
+        message.row.service = g_intern_string(row->service);
         if (i != sender->from)
-            g_array_append_val(sender->mails, mail);
+            g_array_append_val(sender->messages, message);
     }
 }
 
-static void act(ts_quarantine_t *q, const ts_request_digest_t *digest, int what,
-                ts_time_us_t now_us)
+static void apply_action(ts_quarantine_t *q, const ts_request_digest_t *digest, int action,
+                         ts_time_us_t now_us)
 {
-    switch (what) {
+    switch (action) {
     case 0:
         ts_quarantine_suspect(q, digest, "a", now_us);
         break;
@@ -220,39 +226,42 @@
     return true;
 }
 
-/* Nodes act as they like; rows are lost, doubled and late, in any order; then they compare. */
-static void play_drawn(uint32_t seed)
+/*
+ * Nodes make random changes, and rows are lost, duplicated, delayed and reordered. After a final
+ * synchronization through node 0 all tables must agree.
+ */
+static void run_random_exchange(uint32_t seed)
 {
     GRand *random = g_rand_new_with_seed(seed);
     ts_quarantine_t *nodes[NODES];
     sender_t senders[NODES];
-    GArray *mails = g_array_new(FALSE, FALSE, sizeof(mail_t));
+    GArray *messages = g_array_new(FALSE, FALSE, sizeof(message_t));
     for (unsigned i = 0; i < NODES; i++) {
         nodes[i] = ts_quarantine_create();
-        senders[i] = (sender_t){mails, i};
-        ts_quarantine_set_publisher(nodes[i], tell_others, &senders[i]);
+        senders[i] = (sender_t){messages, i};
+        ts_quarantine_set_publisher(nodes[i], publish_to_others, &senders[i]);
     }
     for (unsigned step = 0; step < STEPS; step++) {
         ts_time_us_t now_us = BEGIN_US + step * TS_US_PER_MS;
-        ts_request_digest_t digest = digest_of((uint32_t)g_rand_int_range(random, 0, DIGESTS));
-        act(nodes[g_rand_int_range(random, 0, NODES)], &digest, g_rand_int_range(random, 0, 5),
-            now_us);
-        for (int i = 0; i < 2 && mails->len > 0; i++) { // some come, some of them twice
-            guint at = (guint)g_rand_int_range(random, 0, (gint32)mails->len);
-            const mail_t *mail = &g_array_index(mails, mail_t, at);
-            (void)ts_quarantine_merge(nodes[mail->to], &mail->row, now_us);
+        ts_request_digest_t digest = make_digest((uint32_t)g_rand_int_range(random, 0, DIGESTS));
+        apply_action(nodes[g_rand_int_range(random, 0, NODES)], &digest,
+                     g_rand_int_range(random, 0, 5), now_us);
+        for (int i = 0; i < 2 && messages->len > 0; i++) { // some arrive, some of them twice
+            guint at = (guint)g_rand_int_range(random, 0, (gint32)messages->len);
+            const message_t *message = &g_array_index(messages, message_t, at);
+            (void)ts_quarantine_merge(nodes[message->to], &message->row, now_us);
         }
     }
-    for (unsigned i = 0; i < NODES; i++) { // each hears all that node 0 has, and node 0 of each
+    for (unsigned i = 0; i < NODES; i++) { // synchronizes node 0 with each other node
         ts_quarantine_foreach(nodes[i], BEGIN_US + S, 1024, merge_into, nodes[0]);
     }
     for (unsigned i = 1; i < NODES; i++)
         ts_quarantine_foreach(nodes[0], BEGIN_US + S, 1024, merge_into, nodes[i]);
     for (uint32_t i = 0; i < DIGESTS; i++) {
-        ts_request_digest_t digest = digest_of(i);
-        ts_quarantine_state_t wanted = ts_quarantine_find(nodes[0], &digest, BEGIN_US + 3 * S);
+        ts_request_digest_t digest = make_digest(i);
+        ts_quarantine_state_t expected = ts_quarantine_find(nodes[0], &digest, BEGIN_US + 3 * S);
         for (unsigned j = 1; j < NODES; j++) {
-            if (ts_quarantine_find(nodes[j], &digest, BEGIN_US + 3 * S) != wanted)
+            if (ts_quarantine_find(nodes[j], &digest, BEGIN_US + 3 * S) != expected)
                 fail_msg("seed %u: node %u differs on request %u", seed, j, i);
         }
     }
@@ -261,21 +270,21 @@
                     ts_quarantine_checksum(nodes[0], BEGIN_US + S));
     for (unsigned i = 0; i < NODES; i++)
         ts_quarantine_destroy(nodes[i]);
-    g_array_unref(mails);
+    g_array_unref(messages);
     g_rand_free(random);
 }
 
-static void test_nodes_agree_whatever_is_lost(void **state)
+static void test_nodes_converge(void **state)
 {
     for (uint32_t seed = 1; seed <= 2000; seed++)
-        play_drawn(seed);
+        run_random_exchange(seed);
 }
 
-/* A row from before an entry was cleared doesn't bring the verdict back. */
-static void test_late_row_does_not_bring_back(void **state)
+/* A row from before an entry was cleared does not quarantine the request again. */
+static void test_late_row_does_not_undo_clear(void **state)
 {
     ts_quarantine_t *q = ts_quarantine_create();
-    ts_request_digest_t one = digest_of(1);
+    ts_request_digest_t one = make_digest(1);
     ts_quarantine_row_t late = {.digest = one, .strikes = 2, .service = "a"};
     ts_quarantine_suspect(q, &one, "a", BEGIN_US);
     ts_quarantine_clear(q, &one, "a", BEGIN_US);
@@ -284,15 +293,15 @@
     late.epoch = 1;
     assert_true(ts_quarantine_merge(q, &late, BEGIN_US));
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US), TS_QUARANTINE_QUARANTINED);
-    assert_false(ts_quarantine_merge(q, &late, BEGIN_US)); // no news, not passed on
+    assert_false(ts_quarantine_merge(q, &late, BEGIN_US)); // no change, so not forwarded
     ts_quarantine_destroy(q);
 }
 
-/* The age of a verdict is that of its last strike, wherever it is told. */
-static void test_told_verdict_keeps_its_age(void **state)
+/* The length of a quarantine counts from the last strike, also at nodes that received the row. */
+static void test_received_row_keeps_its_age(void **state)
 {
     ts_quarantine_t *q = ts_quarantine_create();
-    ts_request_digest_t one = digest_of(1);
+    ts_request_digest_t one = make_digest(1);
     ts_quarantine_row_t row = {.digest = one, .strikes = 2, .age_ms = 590000, .service = "a"};
     assert_true(ts_quarantine_merge(q, &row, BEGIN_US));
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + 9 * S), TS_QUARANTINE_QUARANTINED);
@@ -304,17 +313,17 @@
 {
     ts_log_open("test", TS_LOG_TEXT, G_LOG_LEVEL_CRITICAL);
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_two_strikes_hold),
-        cmocka_unit_test(test_sends_out_at_once_are_one_strike),
-        cmocka_unit_test(test_verdict_ends_by_time),
-        cmocka_unit_test(test_suspicion_is_forgotten),
-        cmocka_unit_test(test_whole_run_clears),
-        cmocka_unit_test(test_trial_keeps_others_waiting),
-        cmocka_unit_test(test_flood_is_bounded),
-        cmocka_unit_test(test_held_are_bounded),
-        cmocka_unit_test(test_nodes_agree_whatever_is_lost),
-        cmocka_unit_test(test_late_row_does_not_bring_back),
-        cmocka_unit_test(test_told_verdict_keeps_its_age),
+        cmocka_unit_test(test_two_strikes_quarantine),
+        cmocka_unit_test(test_concurrent_sends_are_one_strike),
+        cmocka_unit_test(test_quarantine_expires),
+        cmocka_unit_test(test_suspicion_expires),
+        cmocka_unit_test(test_completion_clears),
+        cmocka_unit_test(test_only_one_trial_at_a_time),
+        cmocka_unit_test(test_number_of_suspects_is_limited),
+        cmocka_unit_test(test_number_of_quarantined_is_limited),
+        cmocka_unit_test(test_nodes_converge),
+        cmocka_unit_test(test_late_row_does_not_undo_clear),
+        cmocka_unit_test(test_received_row_keeps_its_age),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/route/test_snapshot.c
+++ b/tests/route/test_snapshot.c
@@ -1,4 +1,4 @@
-/** The choice of one snapshot: against a plain oracle over random cases. */
+/** Snapshot selection, compared with an exhaustive search over random cases. */
 #include "../test_support.h"
 
 #include "tealspar/route.h"
@@ -7,21 +7,21 @@
 #define SHARDS_MAX 12
 #define VERSIONS 3
 
-static bool has(const uint64_t *list, uint64_t value)
+static bool contains(const uint64_t *list, uint64_t value)
 {
     return list[0] == value || list[1] == value;
 }
 
-/* The oracle: try every version, count, keep the best. */
-static ts_snapshot_choice_t choose_plainly(const ts_shard_versions_t *shards, size_t count)
+/* Reference implementation: evaluates every version and keeps the best. */
+static ts_snapshot_choice_t choose_exhaustively(const ts_shard_versions_t *shards, size_t count)
 {
     ts_snapshot_choice_t best = {0, 0, 0};
     for (uint64_t version = 1; version <= VERSIONS; version++) {
         ts_snapshot_choice_t choice = {version, 0, 0};
         for (size_t i = 0; i < count; i++) {
-            bool answered = has(shards[i].answered, version);
+            bool answered = contains(shards[i].answered, version);
             choice.covered += answered;
-            choice.possible += !answered && shards[i].open && !has(shards[i].denied, version);
+            choice.possible += !answered && shards[i].open && !contains(shards[i].denied, version);
         }
         uint32_t reach = choice.covered + choice.possible;
         uint32_t best_reach = best.covered + best.possible;
@@ -34,7 +34,7 @@
     return best;
 }
 
-static void test_agrees_with_oracle(void **state)
+static void test_choice_agrees_with_exhaustive_search(void **state)
 {
     GRand *random = g_rand_new_with_seed(7);
     for (int i = 0; i < CASES; i++) {
@@ -46,7 +46,7 @@
             shards[s].denied[0] = (uint64_t)g_rand_int_range(random, 0, VERSIONS + 1);
             shards[s].open = g_rand_boolean(random);
         }
-        ts_snapshot_choice_t expected = choose_plainly(shards, count);
+        ts_snapshot_choice_t expected = choose_exhaustively(shards, count);
         ts_snapshot_choice_t choice = ts_route_choose_snapshot(shards, count);
         assert_int_equal(choice.snapshot, expected.snapshot);
         if (expected.snapshot != 0) {
@@ -69,7 +69,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_agrees_with_oracle),
+        cmocka_unit_test(test_choice_agrees_with_exhaustive_search),
         cmocka_unit_test(test_nothing_answered),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
