--- a/tests/route/rate_fleet.c
+++ b/tests/route/rate_fleet.c
@@ -14,7 +14,7 @@
     return true;
 }
 
-static ts_rate_issuer_t make_issuer(const node_t *node, unsigned index, const char **address)
+static ts_rate_issuer_t identify_issuer(const node_t *node, unsigned index, const char **address)
 {
     const node_t *found = &node->fleet->nodes[index];
     *address = found->address;
@@ -28,7 +28,10 @@
     return now_us >= period->start_us && now_us < period->end_us;
 }
 
-/* The node with the highest id that `node` doesn't suspect, in a zone or in all (ZONES). */
+/*
+ * The node with the highest id that `node` does not suspect, in a zone or in all (ZONES); n if
+ * there is none. A node never suspects itself, so there is one in its own zone and in all zones.
+ */
 static unsigned find_highest_in_view(const node_t *node, unsigned zone)
 {
     const fleet_t *fleet = node->fleet;
@@ -66,7 +69,7 @@
     const node_t *home = &fleet->nodes[find_highest_in_view(node, ZONES)];
     if (!sees_majority(node) || (home == node && is_out_of_contact(node)))
         return TS_RATE_ISSUER_NONE;
-    return make_issuer(node, (unsigned)(home - fleet->nodes), address);
+    return identify_issuer(node, (unsigned)(home - fleet->nodes), address);
 }
 
 static ts_rate_issuer_t find_deputy_in_view(const node_t *node, const char **address)
@@ -74,8 +77,9 @@
     const fleet_t *fleet = node->fleet;
     unsigned zone = (unsigned)(node - fleet->nodes) % ZONES;
     unsigned home = find_highest_in_view(node, ZONES);
-    bool is_near = home % ZONES == zone && sees_majority(node);
-    return make_issuer(node, is_near ? home : find_highest_in_view(node, zone), address);
+    bool is_home_in_zone = home % ZONES == zone && sees_majority(node);
+    return identify_issuer(node, is_home_in_zone ? home : find_highest_in_view(node, zone),
+                           address);
 }
 
 void enable_local_views(fleet_t *fleet)
@@ -141,7 +145,7 @@
     unsigned home = node->fleet->homes[node->detected_side];
     if (!node->has_discovered || home == node->fleet->n)
         return TS_RATE_ISSUER_NONE;
-    return make_issuer(node, home, address);
+    return identify_issuer(node, home, address);
 }
 
 static unsigned zone_of(const fleet_t *fleet, unsigned index)
@@ -161,8 +165,9 @@
     unsigned home = fleet->homes[node->detected_side];
     if (!node->has_discovered)
         return TS_RATE_ISSUER_SELF;
-    bool is_near = home < fleet->n && zone_of(fleet, home) == zone;
-    return make_issuer(node, is_near ? home : fleet->deputies[node->detected_side][zone], address);
+    bool is_home_in_zone = home < fleet->n && zone_of(fleet, home) == zone;
+    return identify_issuer(
+        node, is_home_in_zone ? home : fleet->deputies[node->detected_side][zone], address);
 }
 
 static unsigned count_nodes(void *ctx)
@@ -173,16 +178,17 @@
 static void send_message(fleet_t *fleet, unsigned from, unsigned to, bool is_reply,
                          const ts_rate_message_t *content)
 {
-    bool is_far = zone_of(fleet, from) != zone_of(fleet, to);
+    bool is_cross_zone = zone_of(fleet, from) != zone_of(fleet, to);
     bool is_lost = is_reply && fleet->is_dropping_replies;
     if (is_lost || (unsigned)g_rand_int_range(fleet->random, 0, 100) < fleet->loss_percent)
         return;
     for (int i = 0; i <= (int)fleet->is_duplicating; i++) {
         message_t *message = g_new0(message_t, 1);
-        ts_time_us_t at_us = fleet->now_us + (is_far ? CROSS_ZONE_DELAY_US : SAME_ZONE_DELAY_US);
+        ts_time_us_t at_us =
+            fleet->now_us + (is_cross_zone ? CROSS_ZONE_DELAY_US : SAME_ZONE_DELAY_US);
         *message = (message_t){at_us, from, to, is_reply, *content};
         message->body.account = ACCOUNT;
-        g_queue_push_tail(&fleet->messages[is_far], message);
+        g_queue_push_tail(&fleet->messages[is_cross_zone], message);
     }
 }
 
@@ -287,7 +293,7 @@
 {
     fleet_t *fleet = g_new0(fleet_t, 1);
     double limit = rate * (double)WINDOW_US / TS_US_PER_S + burst;
-    fleet->now_us = 100 * TS_US_PER_S;
+    fleet->now_us = START_US;
     fleet->n = n;
     fleet->nodes = g_new0(node_t, n);
     fleet->params = (ts_rate_params_t){rate, burst, limit, 0.25 * limit + 20};
@@ -326,7 +332,7 @@
 static unsigned current_slot(const fleet_t *fleet)
 {
     return (unsigned)(fleet->now_us * SLOTS_PER_WINDOW / WINDOW_US -
-                      100 * TS_US_PER_S * SLOTS_PER_WINDOW / WINDOW_US);
+                      START_US * SLOTS_PER_WINDOW / WINDOW_US);
 }
 
 /* Returns whether the request was decided; if not, it keeps waiting for a token. */
--- a/tests/route/rate_fleet.h
+++ b/tests/route/rate_fleet.h
@@ -10,6 +10,8 @@
 
 #include "tealspar/rate_limiter.h"
 
+/* Simulated time at the start of the fleet. */
+#define START_US (100 * TS_US_PER_S)
 #define STEP_US (2 * TS_US_PER_MS)
 /* One-way message delays. */
 #define CROSS_ZONE_DELAY_US (12 * TS_US_PER_MS)
@@ -36,7 +38,7 @@
     ts_time_us_t end_us;
 } period_t;
 
-/* A change of one node's view, which the limiter has to be told of. */
+/* A change of one node's view that its limiter is notified of. */
 typedef struct view_change {
     ts_time_us_t at_us;
     unsigned node;
@@ -82,7 +84,7 @@
     unsigned live_count; /* live nodes on side 0, as of the last apply_detected_state() */
     unsigned homes[2];   /* home on each side; n: none */
     unsigned deputies[2][ZONES];
-    unsigned spent[100000]; /* tokens spent in each slot since the start */
+    unsigned spent[100000]; /* tokens spent in each slot since START_US */
     unsigned loss_percent;  /* probability that a message is lost */
     bool is_dropping_replies;
     bool is_buffering;        /* messages between sides are buffered; otherwise they are lost */
--- a/tests/route/test_decision.c
+++ b/tests/route/test_decision.c
@@ -101,7 +101,7 @@
     ts_budget_credit(&budget, 5, 20);
     assert_true(ts_budget_spend(&budget));
     assert_false(ts_budget_spend(&budget));
-    ts_budget_credit(&budget, 5, 100000); /* up to the burst */
+    ts_budget_credit(&budget, 5, 100000); /* limited to the burst of 2 */
     assert_true(ts_budget_spend(&budget));
     assert_true(ts_budget_spend(&budget));
     assert_false(ts_budget_spend(&budget));
@@ -136,7 +136,7 @@
                                   .service_us = 2000,
                                   .left_us = 50000};
     assert_int_equal(ts_admission_decide(&input, &error), TS_ADMIT_RUN);
-    input.kind_in_use = 4; /* uses its share, 80% of five slots */
+    input.kind_in_use = 4; /* the whole share of the kind: 80% of five slots */
     input.slots_in_use = 4;
     assert_int_equal(ts_admission_decide(&input, &error), TS_ADMIT_QUEUE);
     input.queue_ahead = 200;
--- a/tests/route/test_evidence.c
+++ b/tests/route/test_evidence.c
@@ -43,7 +43,7 @@
     ts_evidence_t paused = {0};
     ts_evidence_t slow = {0};
     ts_time_us_t now_us = BEGIN_US;
-    for (int i = 0; i < 20; i++) // both normal at first
+    for (int i = 0; i < 20; i++) // both instances answer in normal time at first
         add_latency(&paused, 1, now_us += 100 * MS);
     slow = paused;
     for (int i = 0; i < 30; i++)
@@ -91,7 +91,7 @@
     assert_true(a.has_anomaly);
 }
 
-/* Extreme response times are capped. */
+/* Extreme ratios of response time to expected time are capped at 16. */
 static void test_ratios_are_bounded(void **state)
 {
     ts_evidence_t evidence = {0};
--- a/tests/route/test_gateway_decisions.c
+++ b/tests/route/test_gateway_decisions.c
@@ -30,7 +30,8 @@
 
 /*
  * With three of ten instances eight times slower, the slowest tenth of the response times is
- * theirs. It must not set the overdue time, or hardly any of their requests would become overdue.
+ * theirs. The overdue time must not follow them, or hardly any request to a slow instance would
+ * become overdue.
  */
 static void test_overdue_time_with_slow_instances(void **state)
 {
@@ -59,7 +60,8 @@
     unsigned counts[4] = {0};
     for (int i = 1; i <= 200; i++) {
         counts[ts_route_state_next_target(route_state, route)[0] - 'a']++;
-        assert_true(fabs(counts[0] - 0.70 * i) <= 1.0); /* after every request */
+        assert_true(fabs(counts[0] - 0.70 * i) <=
+                    1.0); /* after each request, not only at the end */
     }
     assert_int_equal(counts[0], 140);
     assert_int_equal(counts[1], 50);
@@ -76,7 +78,7 @@
     ts_traffic_t *traffic = ts_traffic_create(1);
     ts_traffic_route_t *route = ts_traffic_add_route(traffic);
     GRand *random = g_rand_new_with_seed(5);
-    unsigned first_count = 0;
+    unsigned a_count = 0;
     route->kind = TS_TARGET_SPLIT;
     ts_traffic_route_add_target(route, "a", 0.7);
     ts_traffic_route_add_target(route, "b", 0.3);
@@ -84,15 +86,18 @@
         ts_route_state_t *route_state = ts_route_state_create(100);
         ts_route_state_set_phase(route_state, g_rand_int(random));
         for (int i = 0; i < REQUESTS; i++)
-            first_count += ts_route_state_next_target(route_state, route)[0] == 'a';
+            a_count += ts_route_state_next_target(route_state, route)[0] == 'a';
         ts_route_state_free(route_state);
     }
-    assert_true(fabs((double)first_count / (NODES * REQUESTS) - 0.7) < 0.1);
+    assert_true(fabs((double)a_count / (NODES * REQUESTS) - 0.7) < 0.1);
     g_rand_free(random);
     ts_traffic_unref(traffic);
 }
 
-/* A few callers with a huge timeout, or with none, do not make others look like retries. */
+/*
+ * A few callers with a huge timeout, and any number without one, do not make others look like
+ * retries.
+ */
 static void test_outlier_timeouts_are_ignored(void **state)
 {
     ts_caller_timeouts_t timeouts = {0};
@@ -108,7 +113,10 @@
     assert_true(ts_caller_timeouts_is_retry(&timeouts, 2500));
 }
 
-/* Retries are recognized even if most of the latest requests are; a new timeout is learned. */
+/*
+ * A retry has a shorter timeout than usual. It is recognized even if most of the latest requests
+ * are retries. A new usual timeout is learned.
+ */
 static void test_typical_timeout_follows_the_callers(void **state)
 {
     ts_caller_timeouts_t timeouts = {0};
@@ -148,6 +156,7 @@
                 g_ptr_array_add(all, record);
                 g_string_append_len(bytes, record, TS_RECORD_BYTES);
             }
+            /* An incomplete record at the end is ignored. */
             g_string_append_len(bytes, "rest", g_rand_int_range(random, 0, 5));
             ts_top_records_add(&records, bytes->str, bytes->len);
             g_string_free(bytes, TRUE);
@@ -190,7 +199,13 @@
 
 static ts_instance_t *choose_instance(ts_registry_t *registry, ts_time_us_t now_us)
 {
-    ts_replica_input_t input = {20000, now_us, 2000 * MS, 20, 4, 17, NULL};
+    ts_replica_input_t input = {.work_us = 20000,
+                                .now_us = now_us,
+                                .drain_us = 2000 * MS,
+                                .connections_max = 20,
+                                .nodes = 4,
+                                .random = 17,
+                                .regions = NULL};
     return ts_replica_choose(ts_registry_ensure_service(registry, "s"), &input, NULL, 0);
 }
 
@@ -199,39 +214,46 @@
     ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
     ts_instance_t *far = add_instance(registry, "far", "z3");
     ts_instance_t *near = add_instance(registry, "near", "z1");
-    ts_instance_t *next = add_instance(registry, "next", "z2");
+    ts_instance_t *same_region = add_instance(registry, "next", "z2");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     assert_ptr_equal(choose_instance(registry, now_us), near);
     near->in_flight = 6;
-    assert_ptr_equal(choose_instance(registry, now_us), next);
-    ts_instance_note_failure(next, now_us);
+    assert_ptr_equal(choose_instance(registry, now_us), same_region);
+    ts_instance_note_failure(same_region, now_us);
     near->in_flight = 12;
     assert_ptr_equal(choose_instance(registry, now_us), far);
 }
 
-// The time is learned from connection set-up, although some connections wait for a busy backend.
+/*
+ * The round-trip time of a zone, even a long one within the region, is learned from connection
+ * set-up times, although some connections wait for a busy backend.
+ */
 static void test_round_trip_time_is_learned(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
     ts_instance_t *near = add_instance(registry, "near", "z1");
-    ts_instance_t *next = add_instance(registry, "next", "z2");
+    ts_instance_t *same_region = add_instance(registry, "next", "z2");
     ts_instance_t *far = add_instance(registry, "far", "z3");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     assert_true(ts_registry_rtt_max_us(registry) < 30 * MS);
     for (int i = 0; i < 200; i++) {
         ts_registry_add_rtt_sample(registry, near, i % 5 == 0 ? 40 * MS : MS / 2);
-        ts_registry_add_rtt_sample(registry, next, i % 5 == 0 ? 90 * MS : 60 * MS);
+        ts_registry_add_rtt_sample(registry, same_region, i % 5 == 0 ? 90 * MS : 60 * MS);
         ts_registry_add_rtt_sample(registry, far, 10 * MS);
     }
     assert_true(ts_registry_rtt_min_us(registry) < MS);
-    assert_true(ts_rtt_estimate_us(next->rtt) > 50 * MS && ts_rtt_estimate_us(next->rtt) < 70 * MS);
+    assert_true(ts_rtt_estimate_us(same_region->rtt) > 50 * MS &&
+                ts_rtt_estimate_us(same_region->rtt) < 70 * MS);
     assert_true(ts_registry_rtt_max_us(registry) > 50 * MS);
     near->in_flight = 12;
     // The other zone of the region is farther away than the other region.
     assert_ptr_equal(choose_instance(registry, now_us), far);
 }
 
-// An instance that fails some requests, however fast, is avoided until the evidence has decayed.
+/*
+ * An instance that fails some requests is avoided, even if it answers fast, until the evidence has
+ * decayed.
+ */
 static void test_failing_instance_is_avoided(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
@@ -256,11 +278,17 @@
     ts_service_t *service = ts_registry_ensure_service(registry, "s");
     GPtrArray *regions = g_ptr_array_new();
     g_ptr_array_add(regions, (gpointer)g_intern_string("r2"));
-    ts_replica_input_t input = {20000, 100 * TS_US_PER_S, 2000 * MS, 20, 4, 17, regions};
+    ts_replica_input_t input = {.work_us = 20000,
+                                .now_us = 100 * TS_US_PER_S,
+                                .drain_us = 2000 * MS,
+                                .connections_max = 20,
+                                .nodes = 4,
+                                .random = 17,
+                                .regions = regions};
     assert_ptr_equal(ts_replica_choose(service, &input, NULL, 0), far);
     assert_int_equal(ts_replica_find_exclusion(near, &input), TS_EXCLUSION_PLACEMENT);
     assert_int_equal(ts_replica_find_exclusion(unlocated, &input), TS_EXCLUSION_PLACEMENT);
-    assert_null(ts_replica_choose(service, &input, &far, 1)); /* nor for a retry */
+    assert_null(ts_replica_choose(service, &input, &far, 1)); /* not even for a retry */
     far->in_flight = 20;
     assert_null(ts_replica_choose(service, &input, NULL, 0));
     assert_false(ts_replica_is_any_free(service, &input));
@@ -270,7 +298,7 @@
     g_ptr_array_unref(regions);
 }
 
-/* An evacuated zone gets no requests until the end, even if instances are added meanwhile. */
+/* A zone gets no requests until its evacuation ends, even if instances are added meanwhile. */
 static void test_evacuated_zone_gets_nothing(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
@@ -281,8 +309,8 @@
     ts_registry_ensure_service(registry, "s")->warmup_rate = 10;
     ts_registry_set_evacuated(registry, "z1", true, now_us);
     assert_ptr_equal(choose_instance(registry, now_us), far);
-    const ts_instance_t *late = add_instance(registry, "late", "z1");
-    assert_true(late->is_evacuated);
+    const ts_instance_t *added = add_instance(registry, "late", "z1");
+    assert_true(added->is_evacuated);
     assert_ptr_equal(choose_instance(registry, now_us), far);
     ts_registry_set_evacuated(registry, "z1", false, now_us + 5 * TS_US_PER_S);
     assert_false(near->is_evacuated);
@@ -294,23 +322,23 @@
 /* Whatever their views of the fleet, all nodes together stay within a cold instance's limit. */
 static void test_cold_shares_stay_within_the_limit(void **state)
 {
-    const ts_cold_rule_t rule = {1.5, 5};
+    const ts_cold_rule_t rule = {.overrun = 1.5, .slack = 5};
     static const unsigned sizes[] = {1, 3, 9, 95, 300, 1000};
     static const double rates[] = {1, 8, 40, 400};
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
         for (size_t j = 0; j < G_N_ELEMENTS(rates); j++) {
             double bound = rates[j] * rule.overrun + rule.slack;
             uint32_t sum = 0;
-            uint32_t sum_after_loss = 0;
+            uint32_t sum_unstable = 0;
             for (unsigned index = 0; index < sizes[i]; index++) {
-                ts_fleet_index_t fleet = {sizes[i], index, true};
+                ts_fleet_index_t fleet = {.nodes = sizes[i], .index = index, .is_stable = true};
                 sum += ts_cold_share(&rule, rates[j], &fleet);
-                /* Each node sees no other live node, so that all of them assume index 0. */
-                ts_fleet_index_t alone = {sizes[i], 0, false};
-                sum_after_loss += ts_cold_share(&rule, rates[j], &alone);
+                /* While their views are unstable, all nodes may assume index 0. */
+                ts_fleet_index_t unstable = {.nodes = sizes[i], .index = 0, .is_stable = false};
+                sum_unstable += ts_cold_share(&rule, rates[j], &unstable);
             }
             assert_true(sum <= bound && sum >= floor(bound) * 2 / 3 - 1);
-            assert_true(sum_after_loss <= bound);
+            assert_true(sum_unstable <= bound);
         }
     }
 }
@@ -337,7 +365,7 @@
         assert_true(sum <= window.share);
         total += sent[begin];
     }
-    assert_true(total > 30); /* the share is used */
+    assert_true(total > 30); /* the node does use its share */
     g_rand_free(random);
 }
 
@@ -378,29 +406,31 @@
 
 /*
  * Refusals of a full instance do not count as failures. Whether it is full is known from the load
- * that it reports or, if it reports none, from the times of its answers.
+ * that it reports or, if it reports none, from how long its latest answers took.
  */
 static void test_refusals_of_full_instance_are_not_failures(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
     ts_instance_t *near = add_instance(registry, "near", "z1");
     ts_time_us_t now_us = 100 * TS_US_PER_S;
-    near->reported_load = (ts_reported_load_t){4, 12, 4, now_us};
+    near->reported_load =
+        (ts_reported_load_t){.running = 4, .waiting = 12, .slots = 4, .reported_us = now_us};
     ts_instance_note_refusal(near, now_us);
     assert_true(ts_instance_failure_rate(near, now_us) == 0);
     double limit = near->limit;
-    near->reported_load = (ts_reported_load_t){1, 0, 4, now_us};
+    near->reported_load =
+        (ts_reported_load_t){.running = 1, .waiting = 0, .slots = 4, .reported_us = now_us};
     ts_instance_note_refusal(near, now_us);
     assert_true(ts_instance_failure_rate(near, now_us) > 0.2);
-    assert_true(near->limit == limit);                          /* it is not full */
-    ts_instance_t *next = add_instance(registry, "next", "z2"); /* reports no load */
-    ts_instance_note_answer(next, now_us, 20000, 20000);
-    ts_instance_note_answer(next, now_us + 900 * MS, 150000, 20000);
-    ts_instance_note_refusal(next, now_us + 1200 * MS);
-    assert_true(ts_instance_failure_rate(next, now_us + 1200 * MS) == 0);
-    ts_instance_note_answer(next, now_us + 2000 * MS, 20000, 20000);
-    ts_instance_note_refusal(next, now_us + 2100 * MS);
-    assert_true(ts_instance_failure_rate(next, now_us + 2100 * MS) > 0.2);
+    assert_true(near->limit == limit); /* not lowered, as it is not full */
+    ts_instance_t *same_region = add_instance(registry, "next", "z2"); /* reports no load */
+    ts_instance_note_answer(same_region, now_us, 20000, 20000);
+    ts_instance_note_answer(same_region, now_us + 900 * MS, 150000, 20000);
+    ts_instance_note_refusal(same_region, now_us + 1200 * MS);
+    assert_true(ts_instance_failure_rate(same_region, now_us + 1200 * MS) == 0);
+    ts_instance_note_answer(same_region, now_us + 2000 * MS, 20000, 20000);
+    ts_instance_note_refusal(same_region, now_us + 2100 * MS);
+    assert_true(ts_instance_failure_rate(same_region, now_us + 2100 * MS) > 0.2);
 }
 
 static void test_suspicion_ends_with_an_answer(void **state)
@@ -443,7 +473,7 @@
     assert_ptr_equal(choose_instance(registry, now_us + 20 * TS_US_PER_S), near);
 }
 
-/* A normal answer must not restore slowness that has decayed since late answers. */
+/* A normal answer long after late ones must not restore decayed slowness, as it once did. */
 static void test_decayed_slowness_does_not_return(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
@@ -480,10 +510,17 @@
 {
     ts_registry_t *registry = ts_registry_create("z1", make_two_regions());
     ts_instance_t *near = add_instance(registry, "near", "z1");
-    ts_replica_input_t input = {20000, 100 * TS_US_PER_S, 2000 * MS, 20, 4, 17, NULL};
+    ts_replica_input_t input = {.work_us = 20000,
+                                .now_us = 100 * TS_US_PER_S,
+                                .drain_us = 2000 * MS,
+                                .connections_max = 20,
+                                .nodes = 4,
+                                .random = 17,
+                                .regions = NULL};
     near->in_flight = 12;
     assert_false(ts_replica_is_full(near, &input));
-    for (int i = 0; i < 20; i++) { /* late, and each after the limit has settled */
+    /* Late, and each long enough after the last decrease to lower the limit again. */
+    for (int i = 0; i < 20; i++) {
         ts_instance_note_answer(near, input.now_us += 100 * MS, 200000, 20000);
     }
     assert_true(ts_replica_is_full(near, &input));
@@ -533,7 +570,7 @@
     assert_null(ts_registry_find_current(registry, "near"));
 }
 
-/* The idle connections of all nodes add up to exactly two thirds of the limit. */
+/* The shares of all nodes add up to two thirds of the limit, rounded down. */
 static void test_connection_shares_add_up(void **state)
 {
     static const unsigned limits[] = {1, 2, 41, 67, 76, 110, 480};
--- a/tests/route/test_quarantine.c
+++ b/tests/route/test_quarantine.c
@@ -29,7 +29,7 @@
     ts_quarantine_strike(q, &one, "b", BEGIN_US + S, BEGIN_US + S);
     assert_int_equal(ts_quarantine_find(q, &one, BEGIN_US + S), TS_QUARANTINE_QUARANTINED);
     assert_int_equal(ts_quarantine_find(q, &other, BEGIN_US + S), TS_QUARANTINE_CLEAR);
-    ts_quarantine_suspect(q, &one, "a", BEGIN_US + 2 * S); // sent before the quarantine
+    ts_quarantine_suspect(q, &one, "a", BEGIN_US + 2 * S); // from a send before the quarantine
     assert_string_equal(ts_quarantine_service(q, &one), "b");
     ts_quarantine_destroy(q);
 }
@@ -148,7 +148,7 @@
         ts_quarantine_suspect(q, &digest, "a", BEGIN_US + i);
     }
     assert_int_equal(ts_quarantine_find(q, &quarantined, BEGIN_US + S), TS_QUARANTINE_QUARANTINED);
-    assert_int_equal(count_rows(q, UINT32_MAX / 2), 1025);
+    assert_int_equal(count_rows(q, UINT32_MAX / 2), 1025); // 1024 suspects, 1 quarantined
     assert_int_equal(count_rows(q, 64), 65); // sent to a node with a different checksum
     assert_true(ts_quarantine_checksum(q, BEGIN_US) == checksum);
     ts_request_digest_t latest = make_digest(100001);
--- a/tests/route/test_rate_callers.c
+++ b/tests/route/test_rate_callers.c
@@ -209,7 +209,7 @@
     run_fleet(fleet, 10);
     fleet->is_buffering = true;
     fleet->nodes[home].side = 1;
-    run_fleet(fleet, 8.004);
+    run_fleet(fleet, 8.004); // just past the end of the home's time out of contact
     fleet->nodes[home].side = 0;
     run_fleet(fleet, delay_s);
     deliver_buffered(fleet);
@@ -262,7 +262,7 @@
     run_fleet(fleet, 1);
     node->load = 0;
     fleet->nodes[home].side = 1;
-    run_fleet(fleet, 3.05);
+    run_fleet(fleet, 3.05); // 50 ms after the first suspicions
     (void)take_outcomes(fleet);
     node->requests_due = 6;
     run_fleet(fleet, 0.2);
@@ -308,10 +308,10 @@
     run_fleet(fleet, 1);
     node->load = 0;
     fleet->nodes[home].side = 1;
-    run_fleet(fleet, 3.05);
+    run_fleet(fleet, 3.05); // 50 ms after the first suspicions
     (void)take_outcomes(fleet);
     node->requests_due = 6;
-    run_fleet(fleet, 0.04); // before an issuer counts as silent
+    run_fleet(fleet, 0.04); // less than an issuer's time to count as silent
     outcomes_t outcomes = take_outcomes(fleet);
     if (outcomes.taken < 6)
         print_error("%u taken, %u refused, %u timed out\n", outcomes.taken, outcomes.refused,
--- a/tests/route/test_rate_limiter.c
+++ b/tests/route/test_rate_limiter.c
@@ -32,7 +32,10 @@
     check_rate_is_used(4320, 300, 2, 200);
 }
 
-/* Below the limit nothing is refused or times out; only a node's first request may wait. */
+/*
+ * Below the limit nothing is refused or times out. A node's first request may wait for a token; the
+ * waiting time is checked only against TOKEN_TIMEOUT_US.
+ */
 static void test_load_below_limit_is_never_refused(void **state)
 {
     static const unsigned sizes[] = {3, 60, 300};
@@ -43,7 +46,7 @@
         outcomes_t outcomes = take_outcomes(fleet);
         assert_int_equal(outcomes.refused, 0);
         assert_int_equal(outcomes.timed_out, 0);
-        assert_true(outcomes.taken >= 175);
+        assert_true(outcomes.taken >= 175); // of about 180 requests in 60 s
         close_fleet(fleet);
     }
 }
@@ -59,7 +62,7 @@
     close_fleet(fleet);
 }
 
-static void test_home_dies(void **state)
+static void test_home_crashes(void **state)
 {
     fleet_t *fleet = open_fleet(60, 16, 16);
     spread_load(fleet, 10, 1);
@@ -70,7 +73,7 @@
     run_fleet(fleet, 10);
     outcomes_t outcomes = take_outcomes(fleet);
     assert_int_equal(outcomes.refused, 0);
-    assert_true(outcomes.timed_out <= 2); // of 112
+    assert_true(outcomes.timed_out <= 2); // of 112 requests: 10 per second for 11.2 s
     assert_within_bound(fleet);
     spread_load(fleet, 10, 30);
     run_fleet(fleet, 10);
@@ -81,7 +84,10 @@
     close_fleet(fleet);
 }
 
-/* Each new home starts with few tokens, as the previous one may have granted a window's limit. */
+/*
+ * Each new home starts with few tokens, as the previous one may already have granted all tokens
+ * that the window allows.
+ */
 static void test_home_changes_often(void **state)
 {
     fleet_t *fleet = open_fleet(60, 16, 16);
@@ -89,7 +95,7 @@
     run_fleet(fleet, 5);
     for (int round = 0; round < 6; round++) {
         fleet->nodes[fleet->homes[0]].is_down = true;
-        detect_changes(fleet); // at once
+        detect_changes(fleet); // without the detection time
         run_fleet(fleet, 0.6);
     }
     assert_within_bound(fleet);
@@ -149,7 +155,10 @@
     close_fleet(fleet);
 }
 
-/* Tokens at frozen nodes are granted to others and have expired when the nodes resume. */
+/*
+ * Tokens that a deputy granted to frozen nodes expire, so that their capacity is granted to others.
+ * The nodes must not spend them after they resume.
+ */
 static void test_tokens_of_frozen_nodes_expire(void **state)
 {
     fleet_t *fleet = open_fleet(60, 50, 5);
@@ -166,6 +175,7 @@
     close_fleet(fleet);
 }
 
+/* While a third of the nodes is cut off, the rate is still used. The bound holds throughout. */
 static void test_third_is_partitioned(void **state)
 {
     fleet_t *fleet = open_fleet(60, 16, 16);
@@ -221,13 +231,13 @@
     close_fleet(fleet);
 }
 
-static void test_half_of_fleet_stops_and_restarts(void **state)
+static void test_minority_stops_and_restarts(void **state)
 {
     fleet_t *fleet = open_fleet(60, 16, 16);
     spread_load(fleet, 60, 2);
     for (int round = 0; round < 4; round++) {
         run_fleet(fleet, 4);
-        for (unsigned i = 0; i < 29; i++) {
+        for (unsigned i = 0; i < 29; i++) { // just under half: the others keep the majority
             if (round % 2 == 0)
                 fleet->nodes[i].is_down = true;
             else
@@ -240,8 +250,12 @@
     close_fleet(fleet);
 }
 
-/* Lost grants are not spent, and duplicated messages are applied once. */
-static void check_messages(unsigned loss_percent, bool is_duplicating, double share_min)
+/*
+ * Lost grants are not spent, and duplicated messages are applied once. At least `used_share_min` of
+ * the rate must be used.
+ */
+static void check_unreliable_messages(unsigned loss_percent, bool is_duplicating,
+                                      double used_share_min)
 {
     fleet_t *fleet = open_fleet(60, 16, 16);
     fleet->loss_percent = loss_percent;
@@ -249,7 +263,7 @@
     spread_load(fleet, 10, 5);
     run_fleet(fleet, 20);
     outcomes_t outcomes = take_outcomes(fleet);
-    if (outcomes.taken < share_min * 16 * 20)
+    if (outcomes.taken < used_share_min * 16 * 20)
         fail_msg("%u of %u tokens used", outcomes.taken, 16 * 20);
     assert_within_bound(fleet);
     close_fleet(fleet);
@@ -257,7 +271,7 @@
 
 static void test_lost_messages(void **state)
 {
-    check_messages(30, false, 0.7);
+    check_unreliable_messages(30, false, 0.7);
 }
 
 /* Claims arrive but their replies are lost for a while: tokens spent meanwhile are debited once. */
@@ -281,7 +295,7 @@
 
 static void test_duplicated_messages(void **state)
 {
-    check_messages(0, true, 0.9);
+    check_unreliable_messages(0, true, 0.9);
 }
 
 /* A lowered limit holds after one window; a raised one can be used at once. */
@@ -290,12 +304,12 @@
     fleet_t *fleet = open_fleet(60, 40, 40);
     spread_load(fleet, 10, 8);
     run_fleet(fleet, 10);
-    fleet->params = (ts_rate_params_t){4, 4, 24, 26};
+    fleet->params = (ts_rate_params_t){.rate = 4, .burst = 4, .limit = 24, .tolerance = 26};
     run_fleet(fleet, 5);
     memset(fleet->spent, 0, sizeof(fleet->spent));
     run_fleet(fleet, 10);
     assert_within_bound(fleet);
-    fleet->params = (ts_rate_params_t){40, 40, 240, 80};
+    fleet->params = (ts_rate_params_t){.rate = 40, .burst = 40, .limit = 240, .tolerance = 80};
     run_fleet(fleet, 1);
     (void)take_outcomes(fleet);
     run_fleet(fleet, 10);
@@ -322,7 +336,7 @@
 /* Unspent tokens at other nodes take up capacity: the bucket refills only up to the remainder. */
 static void test_unspent_tokens_count_against_capacity(void **state)
 {
-    const ts_rate_params_t params = {10, 10, 60, 0};
+    const ts_rate_params_t params = {.rate = 10, .burst = 10, .limit = 60, .tolerance = 0};
     const ts_rate_view_history_t view_history = {.begun_us = 1, .changed_us = 1};
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     ts_rate_account_t account;
@@ -331,18 +345,21 @@
     for (uint64_t node = 1; node <= 20; node++) {
         ts_rate_claim_t claim = {.node = node, .sequence = 1, .wanted = 100};
         if (node == 2)
-            now_us += 2 * TS_US_PER_S; // accrues twice the capacity
+            now_us += 2 * TS_US_PER_S; // 20 tokens accrue, twice the capacity
         unspent += ts_rate_account_grant(&account, &params, &claim, now_us).tokens;
     }
     assert_true(unspent >= 10);
-    assert_true(unspent <= 11); // the home may always hold one
+    assert_true(unspent <= 11); // there is always room for one token
     ts_rate_account_clear(&account);
 }
 
-/* Tokens withheld for a silent node that did not spend them are released up to the capacity. */
-static void test_withheld_tokens_are_released(void **state)
+/*
+ * Releasing the tokens that were withheld for a silent node, which did not spend them, must not
+ * fill the bucket beyond its capacity.
+ */
+static void test_released_tokens_stay_within_capacity(void **state)
 {
-    const ts_rate_params_t params = {10, 10, 60, 0};
+    const ts_rate_params_t params = {.rate = 10, .burst = 10, .limit = 60, .tolerance = 0};
     const ts_rate_view_history_t view_history = {.begun_us = 1};
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     ts_rate_account_t account;
@@ -370,16 +387,16 @@
  */
 static void test_lease_expires(void **state)
 {
-    const ts_rate_params_t params = {10, 10, 60, 0};
+    const ts_rate_params_t params = {.rate = 10, .burst = 10, .limit = 60, .tolerance = 0};
     const ts_rate_grant_t grant = {.tokens = 2, .valid_us = 2 * TS_US_PER_S};
     ts_time_us_t sent_us = 100 * TS_US_PER_S;
     ts_rate_lease_t lease;
     ts_rate_lease_open(&lease, 1, sent_us);
     uint32_t sequence = ts_rate_lease_record_claim(&lease, true, sent_us);
     ts_rate_lease_receive_grant(&lease, &params, sequence, &grant, sent_us + 900 * TS_US_PER_MS);
-    ts_time_us_t last_valid_us = sent_us + 1900 * TS_US_PER_MS;
-    assert_int_equal(ts_rate_lease_valid_tokens(&lease, last_valid_us), 2);
-    assert_int_equal(ts_rate_lease_take(&lease, &params, last_valid_us), TS_RATE_TAKEN);
+    ts_time_us_t still_valid_us = sent_us + 1900 * TS_US_PER_MS;
+    assert_int_equal(ts_rate_lease_valid_tokens(&lease, still_valid_us), 2);
+    assert_int_equal(ts_rate_lease_take(&lease, &params, still_valid_us), TS_RATE_TAKEN);
     ts_time_us_t expired_us = sent_us + 2100 * TS_US_PER_MS;
     assert_int_equal(ts_rate_lease_valid_tokens(&lease, expired_us), 0);
     assert_int_equal(ts_rate_lease_take(&lease, &params, expired_us), TS_RATE_PENDING);
@@ -406,7 +423,7 @@
         cmocka_unit_test(test_whole_rate_is_used_but_not_exceeded),
         cmocka_unit_test(test_load_below_limit_is_never_refused),
         cmocka_unit_test(test_sudden_surge),
-        cmocka_unit_test(test_home_dies),
+        cmocka_unit_test(test_home_crashes),
         cmocka_unit_test(test_home_changes_often),
         cmocka_unit_test(test_home_is_isolated_and_returns),
         cmocka_unit_test(test_misdirected_claims),
@@ -415,14 +432,14 @@
         cmocka_unit_test(test_third_is_partitioned),
         cmocka_unit_test(test_all_restart),
         cmocka_unit_test(test_frozen_nodes_resume),
-        cmocka_unit_test(test_half_of_fleet_stops_and_restarts),
+        cmocka_unit_test(test_minority_stops_and_restarts),
         cmocka_unit_test(test_lost_messages),
         cmocka_unit_test(test_duplicated_messages),
         cmocka_unit_test(test_lost_grants),
         cmocka_unit_test(test_limit_change),
         cmocka_unit_test(test_refund),
         cmocka_unit_test(test_unspent_tokens_count_against_capacity),
-        cmocka_unit_test(test_withheld_tokens_are_released),
+        cmocka_unit_test(test_released_tokens_stay_within_capacity),
         cmocka_unit_test(test_lease_expires),
         cmocka_unit_test(test_idle_state_is_dropped),
     };
--- a/tests/route/test_retry_budget.c
+++ b/tests/route/test_retry_budget.c
@@ -12,7 +12,8 @@
  */
 static void test_budget_holds_in_every_window(void **state)
 {
-    const ts_retry_budget_rule_t rule = {0.2, 2, 10 * TS_US_PER_S};
+    const ts_retry_budget_rule_t rule = {
+        .ratio = 0.2, .slack_share = 2, .window_us = 10 * TS_US_PER_S};
     ts_retry_budget_t budget = {0};
     GRand *random = g_rand_new_with_seed(11);
     enum { SPAN_MS = 60000, WINDOW_MS = 10000 };
@@ -45,7 +46,8 @@
 
 static void test_new_budget_is_its_slack_share(void **state)
 {
-    const ts_retry_budget_rule_t rule = {0.2, 2, 10 * TS_US_PER_S};
+    const ts_retry_budget_rule_t rule = {
+        .ratio = 0.2, .slack_share = 2, .window_us = 10 * TS_US_PER_S};
     ts_retry_budget_t budget = {0};
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     assert_true(ts_retry_budget_take(&budget, &rule, now_us));
@@ -58,7 +60,8 @@
 /* Whatever is lent and borrowed, the retries of two nodes stay within the sum of their budgets. */
 static void test_loans_do_not_raise_the_total(void **state)
 {
-    const ts_retry_budget_rule_t rule = {0.2, 5, 10 * TS_US_PER_S};
+    const ts_retry_budget_rule_t rule = {
+        .ratio = 0.2, .slack_share = 5, .window_us = 10 * TS_US_PER_S};
     ts_retry_budget_t nodes[2] = {0};
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     unsigned taken = 0;
@@ -78,7 +81,8 @@
 
 static void test_loan_expires(void **state)
 {
-    const ts_retry_budget_rule_t rule = {0, 0, 10 * TS_US_PER_S};
+    const ts_retry_budget_rule_t rule = {
+        .ratio = 0, .slack_share = 0, .window_us = 10 * TS_US_PER_S};
     ts_retry_budget_t budget = {0};
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     ts_retry_budget_borrow(&budget, 2, now_us);
@@ -92,7 +96,8 @@
 /* Low is less than half of what the window allows, so it depends on the requests too. */
 static void test_low_budget(void **state)
 {
-    const ts_retry_budget_rule_t rule = {0.2, 4, 10 * TS_US_PER_S};
+    const ts_retry_budget_rule_t rule = {
+        .ratio = 0.2, .slack_share = 4, .window_us = 10 * TS_US_PER_S};
     ts_retry_budget_t budget = {0};
     ts_time_us_t now_us = 100 * TS_US_PER_S;
     assert_false(ts_retry_budget_is_low(&budget, &rule, now_us));
