--- a/include/tealspar/broken_sends.h
+++ b/include/tealspar/broken_sends.h
@@ -13,7 +13,8 @@
 
 /** `quarantine` is not owned. */
 ts_broken_sends_t *ts_broken_sends_create(uv_loop_t *loop, ts_quarantine_t *quarantine);
-/** Records a broken send and checks its backend. A ts_upstream_broken_t; `ctx`: the object. */
+/** Records a broken send and checks its backend. A ts_upstream_broken_send_cb_t; `ctx`: the object.
+ */
 void ts_broken_sends_add(void *ctx, const ts_broken_send_t *send);
 
 #endif
--- a/include/tealspar/instance_check.h
+++ b/include/tealspar/instance_check.h
@@ -1,6 +1,6 @@
 /**
- * Whether a back end still takes connections, asked by opening one and closing it. What comes of it
- * is noted with the instance, see ts_instance_liveness.
+ * Checks whether a backend accepts connections, by opening one and closing it again. The result is
+ * recorded in the instance, see ts_instance_liveness().
  */
 #ifndef TEALSPAR_INSTANCE_CHECK_H
 #define TEALSPAR_INSTANCE_CHECK_H
@@ -12,7 +12,7 @@
 typedef struct ts_instance_checks ts_instance_checks_t;
 
 ts_instance_checks_t *ts_instance_checks_create(uv_loop_t *loop);
-/** Begins a check, unless one of this instance is under way. */
+/** Begins a check, unless the instance is being checked already or is known to have ended. */
 void ts_instance_checks_begin(ts_instance_checks_t *checks, ts_instance_t *instance);
 
 #endif
--- a/include/tealspar/line_writer.h
+++ b/include/tealspar/line_writer.h
@@ -1,7 +1,7 @@
 /**
- * Lines to a descriptor, bounded and never blocking: a budget of lines and bytes a second, a buffer
- * of fixed size, and a write only when the reader takes it. What does not fit is dropped and
- * counted, and said at most once a second.
+ * Writes lines to a file descriptor without blocking. Lines and bytes per second and the size of
+ * the buffer are limited, and the descriptor is written only while it is ready. Lines over a limit
+ * are dropped and counted.
  */
 #ifndef TEALSPAR_LINE_WRITER_H
 #define TEALSPAR_LINE_WRITER_H
@@ -12,30 +12,30 @@
 
 #include "tealspar/clock.h"
 
-/** How much a line matters when there is room for few. */
-typedef enum ts_line_rank {
-    TS_LINE_SAMPLE, /**< a request that went well: a few a second, while less than half is used */
-    TS_LINE_DETAIL, /**< a decision on the way: written while less than nine tenths are used */
-    TS_LINE_NEEDED  /**< what went wrong, and changes of state */
-} ts_line_rank_t;
+/** Which lines are dropped first near a limit. */
+typedef enum ts_line_priority {
+    TS_LINE_SAMPLED,  /**< successful requests: at most 5 per second, up to 50% of the limits */
+    TS_LINE_DETAIL,   /**< steps in the handling of requests: up to 90% of the limits */
+    TS_LINE_IMPORTANT /**< failures and state changes: up to the limits */
+} ts_line_priority_t;
 
 typedef struct ts_line_writer ts_line_writer_t;
 
-/** Writes to `descriptor`; `lines_max` and `bytes_max` are a second's budget. */
+/** Creates a writer to `descriptor`, limited to `lines_max` and `bytes_max` per second. */
 ts_line_writer_t *ts_line_writer_create(int descriptor, uint32_t lines_max, uint32_t bytes_max);
 void ts_line_writer_free(ts_line_writer_t *writer);
-/** Takes a line without its end; returns whether it was taken. */
-bool ts_line_writer_add(ts_line_writer_t *writer, ts_line_rank_t rank, const char *line,
+/** Queues a line, given without a line end. Returns whether it was accepted. */
+bool ts_line_writer_add(ts_line_writer_t *writer, ts_line_priority_t priority, const char *line,
                         size_t length, ts_time_us_t now_us);
-/** Whether a line of rank TS_LINE_SAMPLE would be looked at, to spare its making. */
-bool ts_line_writer_takes_sample(ts_line_writer_t *writer, ts_time_us_t now_us);
-/** Writes what waits once it is worth a write; call it once a turn of the loop. */
+/** Whether the sample rate allows a TS_LINE_SAMPLED line, to avoid formatting it in vain. */
+bool ts_line_writer_accepts_sample(ts_line_writer_t *writer, ts_time_us_t now_us);
+/** Writes queued lines in batches, after 4 kB or 100 ms; call it on each loop iteration. */
 void ts_line_writer_flush_batch(ts_line_writer_t *writer, ts_time_us_t now_us);
-/** Writes what the reader takes now. */
+/** Writes as much as possible without blocking. */
 void ts_line_writer_flush(ts_line_writer_t *writer);
-/** Whether lines were dropped since ts_line_writer_take_dropped. */
+/** Whether lines were dropped since the last call of ts_line_writer_take_dropped(). */
 bool ts_line_writer_has_dropped(const ts_line_writer_t *writer);
-/** Lines dropped since the last call. */
+/** Returns the number of lines dropped since the last call. */
 uint64_t ts_line_writer_take_dropped(ts_line_writer_t *writer);
 
 #endif
--- a/include/tealspar/log.h
+++ b/include/tealspar/log.h
@@ -1,7 +1,7 @@
 /**
- * Structured logging over GLib: one line for each decision that touches a request or changes what
- * the process believes; what happens all the time is a counter. Each line names an event of the
- * table below.
+ * Structured logging through GLib: one line per state change of the process and per decision about
+ * a single request; frequent occurrences are counted by metrics instead. Each line names an event
+ * of the table below.
  */
 #ifndef TEALSPAR_LOG_H
 #define TEALSPAR_LOG_H
@@ -61,25 +61,25 @@
 
 typedef enum ts_log_format { TS_LOG_TEXT, TS_LOG_JSON } ts_log_format_t;
 
-/** Version of the set of fields of a line; see docs/OPERATIONS.md. */
+/** Version of the log line schema; see docs/OPERATIONS.md. */
 #define TS_LOG_SCHEMA 1
 
 /**
- * Installs the process's log writer (standard output). `node` names the process in each line.
- * `minimum` is the least severe level that is written, as a GLib level flag. Lines are bounded and
- * never block, see tealspar/line_writer.h.
+ * Installs the process's log writer, which writes to standard output. `node`: name of this process
+ * in each line. `minimum`: the least severe level that is written, as a GLib level flag. The output
+ * is rate-limited and never blocks, see tealspar/line_writer.h.
  */
 void ts_log_open(const char *node, ts_log_format_t format, GLogLevelFlags minimum);
 /**
- * Writes one line. `format` gives the details as "name=value" words, which become fields of a JSON
- * line; a value holds no blanks.
+ * Writes one line. `format` yields "name=value" pairs separated by blanks, which become fields of a
+ * JSON line; values must not contain blanks.
  */
 void ts_log(ts_event_t event, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/** Writes what the reader takes; call it once a turn of the loop. */
+/** Writes queued lines without blocking; call it on each loop iteration. */
 void ts_log_flush(void);
-/** Writes all that is left and that the reader takes; at the end of the process. */
+/** Writes the remaining lines as far as possible without blocking, at the end of the process. */
 void ts_log_close(void);
-/** Whether lines of this event are written at all, to spare their making. */
+/** Whether a line of this event would be written, to avoid formatting it in vain. */
 gboolean ts_log_is_wanted(ts_event_t event);
 
 #endif
--- a/include/tealspar/stream_end.h
+++ b/include/tealspar/stream_end.h
@@ -1,4 +1,4 @@
-/** How the other side of a TCP stream ended it. */
+/** Distinguishes an orderly close of a TCP stream by the peer from a reset. */
 #ifndef TEALSPAR_STREAM_END_H
 #define TEALSPAR_STREAM_END_H
 
@@ -6,10 +6,11 @@
 #include <uv.h>
 
 /**
- * Whether a stream that libuv reports as ended (UV_EOF) was closed in order, and not reset. libuv
- * reports a reset as an end when it is polled together with a short read (uv__stream_io, POLLHUP),
- * so the socket itself is asked.
+ * Whether a stream for which libuv reported UV_EOF was closed in an orderly way, and not reset.
+ * libuv reports a reset as UV_EOF if the poll that returns POLLHUP also returned data and the read
+ * was short (uv__stream_io), so the socket itself is checked. The check clears a pending reset:
+ * call it once.
  */
-bool ts_stream_ended_in_order(const uv_stream_t *stream);
+bool ts_stream_closed_cleanly(const uv_stream_t *stream);
 
 #endif
--- a/include/tealspar/upstream.h
+++ b/include/tealspar/upstream.h
@@ -1,7 +1,7 @@
 /**
- * Connections to back ends. A connection belongs to one instance and carries one request at a time;
- * it is used again only after exactly one whole, well-framed answer with the right request id and
- * nothing after it. One exchange is one request sent to one instance.
+ * Connections to backends. A connection belongs to one instance and carries one request at a time.
+ * It is reused only after exactly one complete, well-framed answer with the expected request id
+ * and no bytes after it. An exchange is one request sent to one instance, and its answer.
  */
 #ifndef TEALSPAR_UPSTREAM_H
 #define TEALSPAR_UPSTREAM_H
@@ -22,44 +22,50 @@
 
 /** How an exchange ended. */
 typedef struct ts_exchange_result {
-    ts_error_t error;                /**< TS_OK: `answer` is whole, whatever its status */
+    ts_error_t error;                /**< TS_OK: `answer` is complete, with any status code */
     ts_run_t run;                    /**< whether the instance ran the request */
     const ts_http_message_t *answer; /**< valid during the call; NULL on an error */
-    ts_time_us_t span_us;            /**< from the sending to the end */
-    bool is_untimed;                 /**< this process stood still meanwhile */
+    ts_time_us_t span_us;            /**< time since the request was sent; 0: it was not sent */
+    bool is_untimed;                 /**< `span_us` is invalid: this process stalled meanwhile */
 } ts_exchange_result_t;
 
-/** Called once, unless the exchange was cancelled or released before. */
+/** Called once, unless the exchange is cancelled or released before. */
 typedef void (*ts_exchange_done_t)(ts_exchange_t *exchange, const ts_exchange_result_t *result,
                                    void *owner);
 
-/** How many connections to the instance this node may keep while they rest. */
-typedef uint32_t (*ts_upstream_kept_t)(void *ctx, ts_instance_t *instance, ts_time_us_t now_us);
+/** Returns the number of idle connections to the instance that this node may keep. */
+typedef uint32_t (*ts_upstream_idle_limit_cb_t)(void *ctx, ts_instance_t *instance,
+                                                ts_time_us_t now_us);
 
 ts_upstream_t *ts_upstream_create(uv_loop_t *loop, const ts_dialect_t *dialect);
-/** Who decides how many connections are kept; without it none is closed for being too many. */
-void ts_upstream_on_rest(ts_upstream_t *upstream, ts_upstream_kept_t kept, void *ctx);
-/** Who notices that this process stood still; asked when an answer is very late. */
-void ts_upstream_on_late(ts_upstream_t *upstream, ts_wake_t *wake);
-/** This process stood still: what is out now is not timed, as its times are this node's own. */
-void ts_upstream_forget_times(ts_upstream_t *upstream);
-/** A send that left and whose connection failed before a whole answer came. */
+/** Sets the limit of idle connections; without a callback their number is not limited. */
+void ts_upstream_set_idle_limit_callback(ts_upstream_t *upstream,
+                                         ts_upstream_idle_limit_cb_t callback, void *ctx);
+/**
+ * Sets the detector of process stalls. It is run before a very late answer is evaluated, so that
+ * a stall of this process does not count against the instance.
+ */
+void ts_upstream_set_stall_detector(ts_upstream_t *upstream, ts_wake_t *detector);
+/** Marks all exchanges as untimed after a process stall, as their times include the stall. */
+void ts_upstream_mark_untimed(ts_upstream_t *upstream);
+/** A send whose connection failed after the request was sent and before a complete answer. */
 typedef struct ts_broken_send {
     ts_instance_t *instance;
     ts_outgoing_t *outgoing;
-    ts_time_us_t span_us; /**< from the sending to the end */
-    bool is_awaited;      /**< somebody still waited for its answer */
-    bool is_lone;         /**< as its terms said */
+    ts_time_us_t span_us; /**< time since the request was sent */
+    bool is_awaited;      /**< the exchange was not released */
+    bool is_isolated;     /**< as in ts_send_terms_t */
 } ts_broken_send_t;
 
-/** Called for each such send, before its owner is told. */
-typedef void (*ts_upstream_broken_t)(void *ctx, const ts_broken_send_t *send);
-void ts_upstream_on_broken(ts_upstream_t *upstream, ts_upstream_broken_t broken, void *ctx);
-/** What is known of a send beside its bytes. */
+/** Called for each broken send, before the `done` callback of its exchange. */
+typedef void (*ts_upstream_broken_send_cb_t)(void *ctx, const ts_broken_send_t *send);
+void ts_upstream_set_broken_send_callback(ts_upstream_t *upstream,
+                                          ts_upstream_broken_send_cb_t callback, void *ctx);
+/** Parameters of a send that are not part of the request. */
 typedef struct ts_send_terms {
-    double typical_us; /**< what such a request takes from here, to judge by; 0: not known */
-    bool is_repeat;    /**< another send of the request, or of the part, went before */
-    bool is_lone;      /**< its request is tried by one send at a time */
+    double typical_us; /**< usual response time of such a request at this node; 0: not known */
+    bool is_repeat;    /**< a hedge or retry of the request or part */
+    bool is_isolated;  /**< the request is limited to one send at a time */
 } ts_send_terms_t;
 
 /** Sends a request to an instance, on an idle connection or a new one. */
@@ -68,14 +74,17 @@
                                 ts_exchange_done_t done, void *owner);
 /** Ends an exchange at once by closing its connection; `done` is not called. */
 void ts_exchange_cancel(ts_exchange_t *exchange);
-/** Nobody waits any more: it may finish until `until_us`, then it is cancelled. */
+/**
+ * The answer is no longer awaited: `done` is not called. The exchange may still complete until
+ * `until_us`, so that its connection can be reused; then it is cancelled.
+ */
 void ts_exchange_release(ts_exchange_t *exchange, ts_time_us_t until_us);
-/** When the request left this node; 0 while the connection is coming up. */
+/** When the request was sent; 0 while the connection is being established. */
 ts_time_us_t ts_exchange_sent_us(const ts_exchange_t *exchange);
-/** Whether this process stood still while it was out, so that its times say nothing. */
+/** Whether this process stalled during the exchange, so that its times are invalid. */
 bool ts_exchange_is_untimed(const ts_exchange_t *exchange);
 ts_instance_t *ts_exchange_instance(const ts_exchange_t *exchange);
-/** Closes idle connections that have rested too long, or whose instance has left. */
+/** Closes idle connections that timed out, exceed the limit, or belong to a departing instance. */
 void ts_upstream_sweep(ts_upstream_t *upstream, ts_instance_t *instance, ts_time_us_t now_us);
 
 #endif
--- a/include/tealspar/wire.h
+++ b/include/tealspar/wire.h
@@ -1,13 +1,13 @@
-/** Packing and unpacking between the typed messages and the frames that nodes exchange. */
+/** Serialization of typed messages into frames, the unit that nodes exchange, and back. */
 #ifndef TEALSPAR_WIRE_H
 #define TEALSPAR_WIRE_H
 
 #include "tealspar/messages.h"
 
-/** Bytes a frame may have; larger ones are refused. */
+/** Maximum size of a frame; larger ones are refused. */
 #define TS_FRAME_BYTES_MAX (32U * 1024U * 1024U)
 
-/** Who speaks; put into every frame. */
+/** Identity of a node, included in every frame that it sends. */
 typedef struct ts_wire_identity {
     const char *cluster;
     const char *name;
@@ -15,30 +15,34 @@
     uint64_t incarnation;
 } ts_wire_identity_t;
 
-/** Packs messages into one frame. The array holds ts_message_t pointers and is not changed. */
 typedef struct ts_wire_frame ts_wire_frame_t;
+/**
+ * Builds a frame of messages from the node `identity`. The frame refers to the messages and the
+ * identity, which must outlive it.
+ */
 ts_wire_frame_t *ts_wire_frame_build(const ts_wire_identity_t *identity,
                                      ts_message_t *const *messages, size_t count);
-/** Size of the packed frame. */
+/** Size of the packed frame in bytes. */
 size_t ts_wire_frame_size(const ts_wire_frame_t *frame);
-/** Writes the packed frame into `bytes`, which has room for its size. */
+/** Writes the packed frame to `bytes`, which must have room for ts_wire_frame_size() bytes. */
 void ts_wire_frame_pack(const ts_wire_frame_t *frame, uint8_t *bytes);
 void ts_wire_frame_free(ts_wire_frame_t *frame);
 
-/** Takes the messages of a frame, one by one, in the order of their kinds. Takes ownership. */
-typedef void (*ts_wire_receiver_t)(void *context, ts_message_t *message);
+/** Called for each message of a frame, ordered by message type. Takes ownership. */
+typedef void (*ts_wire_message_cb_t)(void *context, ts_message_t *message);
 /**
- * Unpacks a frame from another node. Returns TS_OK, or TS_E_PROTOCOL for what is not a frame of
- * this protocol and cluster; then nothing was delivered.
+ * Unpacks a frame from another node. `identity`: this node. Returns TS_OK, or TS_E_PROTOCOL for
+ * malformed bytes, another protocol version or cluster, or a sender without a name or with this
+ * node's name; then no callback was called.
  */
 ts_error_t ts_wire_frame_unpack(const ts_wire_identity_t *identity, const uint8_t *bytes,
-                                size_t length, ts_wire_receiver_t receiver, void *context);
+                                size_t length, ts_wire_message_cb_t receiver, void *context);
 
-/** Told once a frame, before its messages, who sent it; the texts are valid during the call. */
-typedef void (*ts_wire_sender_t)(void *context, const ts_wire_identity_t *sender);
-/** As ts_wire_frame_unpack, and names the sender. */
+/** Called once per frame, before its messages; the strings are valid during the call. */
+typedef void (*ts_wire_sender_cb_t)(void *context, const ts_wire_identity_t *sender);
+/** As ts_wire_frame_unpack(), but also reports the sender if `sender` is not NULL. */
 ts_error_t ts_wire_frame_receive(const ts_wire_identity_t *identity, const uint8_t *bytes,
-                                 size_t length, ts_wire_sender_t sender,
-                                 ts_wire_receiver_t receiver, void *context);
+                                 size_t length, ts_wire_sender_cb_t sender,
+                                 ts_wire_message_cb_t receiver, void *context);
 
 #endif
--- a/lab/link.c
+++ b/lab/link.c
@@ -199,7 +199,7 @@
 /* The other side ended: in order, then once what it sent has passed; else at once, and so here. */
 static void take_end(direction_t *direction)
 {
-    if (!ts_stream_ended_in_order((const uv_stream_t *)direction->from)) {
+    if (!ts_stream_closed_cleanly((const uv_stream_t *)direction->from)) {
         end_connection(direction->connection, true);
         return;
     }
--- a/lab/soak_world.c
+++ b/lab/soak_world.c
@@ -186,9 +186,9 @@
                                   "\"%s\":\"%s\",\"%s\":%u,\"%s\":%" PRIu64 "}",
                                   FIELD_SERVICE, own->searcher->service, FIELD_ADDRESS,
                                   own->link.address, FIELD_ZONE, own->searcher->zone, FIELD_SLOTS,
-                                  FIELD_STATE, is_draining ? WORD_DRAINING : WORD_READY,
+                                  FIELD_STATE, is_draining ? VALUE_DRAINING : VALUE_READY,
                                   FIELD_WARMUP_MS, s->options.is_planted ? 0 : warmup_left_ms(own),
-                                  FIELD_BORN, own->searcher->born_ms);
+                                  FIELD_START_TIME_MS, own->searcher->born_ms);
     lab_store_put(s->store, key, entry);
     g_free(entry);
     g_free(key);
@@ -335,14 +335,14 @@
 static void append_route(GString *out, const char *name, const char *prefix, bool is_repeatable,
                          const char *target)
 {
-    g_string_append_printf(out,
-                           "%s{\"%s\":\"%s\",\"%s\":\"h.example\",\"%s\":\"%s\",\"%s\":\"%s\","
-                           "\"%s\":%u,\"%s\":200,\"%s\":1,\"%s\":2,\"%s\":%s,%s}",
-                           out->len > 0 ? "," : "", FIELD_NAME, name, FIELD_HOST, FIELD_PREFIX,
-                           prefix, FIELD_KIND, is_repeatable ? WORD_REPEATABLE : "non_idempotent",
-                           FIELD_TIMEOUT_MS, ROUTE_TIMEOUT_MS, FIELD_AIM_MS, FIELD_PRIORITY,
-                           FIELD_ATTEMPTS, FIELD_OPEN,
-                           g_str_has_prefix(prefix, "/v") ? "true" : "false", target);
+    g_string_append_printf(
+        out,
+        "%s{\"%s\":\"%s\",\"%s\":\"h.example\",\"%s\":\"%s\",\"%s\":\"%s\","
+        "\"%s\":%u,\"%s\":200,\"%s\":1,\"%s\":2,\"%s\":%s,%s}",
+        out->len > 0 ? "," : "", FIELD_NAME, name, FIELD_HOST, FIELD_PREFIX, prefix,
+        FIELD_ROUTE_TYPE, is_repeatable ? VALUE_IDEMPOTENT : "non_idempotent", FIELD_TIMEOUT_MS,
+        ROUTE_TIMEOUT_MS, FIELD_TARGET_LATENCY_MS, FIELD_PRIORITY, FIELD_ATTEMPTS,
+        FIELD_AUTH_EXEMPT, g_str_has_prefix(prefix, "/v") ? "true" : "false", target);
 }
 
 static char *compose_services(void)
--- a/lab/standin_searcher.c
+++ b/lab/standin_searcher.c
@@ -399,8 +399,8 @@
                            "\"%s\":\"%s\",\"%s\":0,\"%s\":%" PRIu64 "}",
                            FIELD_SERVICE, searcher->service, FIELD_ADDRESS, searcher->port,
                            FIELD_ZONE, searcher->zone, FIELD_SLOTS, FIELD_STATE,
-                           is_draining ? WORD_DRAINING : WORD_READY, FIELD_WARMUP_MS, FIELD_BORN,
-                           searcher->born_ms);
+                           is_draining ? VALUE_DRAINING : VALUE_READY, FIELD_WARMUP_MS,
+                           FIELD_START_TIME_MS, searcher->born_ms);
 }
 
 char *lab_searcher_last_field(const lab_searcher_t *searcher, const char *name)
--- a/lab/standin_store.c
+++ b/lab/standin_store.c
@@ -80,7 +80,7 @@
     json_object_set_new(item, FIELD_KEY, json_string(change->key));
     json_object_set_new(item, FIELD_REVISION, json_integer((json_int_t)change->revision));
     if (change->value == NULL) {
-        json_object_set_new(item, FIELD_GONE, json_true());
+        json_object_set_new(item, FIELD_DELETED, json_true());
         return item;
     }
     char *encoded = g_base64_encode((const guchar *)change->value, strlen(change->value));
@@ -96,7 +96,7 @@
     if (body != NULL)
         g_string_append(fields, "Content-Type: application/json\r\n");
     if (store->epoch > 0)
-        g_string_append_printf(fields, NAME_STORE_ERA ": %lu\r\n", (unsigned long)store->epoch);
+        g_string_append_printf(fields, NAME_STORE_EPOCH ": %lu\r\n", (unsigned long)store->epoch);
     ts_caller_answer(caller, status, fields->str, body, length);
     g_string_free(fields, TRUE);
 }
@@ -158,7 +158,7 @@
     g_tree_foreach(store->entries, list_entry, &listing);
     answer_json(store, caller,
                 json_pack("{s:o, s:b, s:I}", FIELD_ITEMS, listing.items, FIELD_MORE,
-                          listing.has_more, FIELD_AT, (json_int_t)store->revision));
+                          listing.has_more, FIELD_PAGE_REVISION, (json_int_t)store->revision));
     g_free(prefix);
     g_free(after);
 }
@@ -177,9 +177,9 @@
 
 static void answer_events(const lab_store_t *store, ts_caller_t *caller, json_t *events)
 {
-    answer_json(
-        store, caller,
-        json_pack("{s:o, s:I}", FIELD_EVENTS, events, FIELD_AT, (json_int_t)store->revision));
+    answer_json(store, caller,
+                json_pack("{s:o, s:I}", FIELD_EVENTS, events, FIELD_PAGE_REVISION,
+                          (json_int_t)store->revision));
 }
 
 static void answer_watch(lab_store_t *store, ts_caller_t *caller, const char *target)
--- a/src/edge/answer.c
+++ b/src/edge/answer.c
@@ -150,7 +150,7 @@
 void ts_answer_abandoned(const ts_request_t *request)
 {
     ts_count(TS_COUNTER_REQUESTS_LEFT, 1);
-    count_tenant(request, TS_TENANT_LEFT);
+    count_tenant(request, TS_TENANT_ABANDONED);
     ts_route_state_record_outcome(request->state, TS_OUTCOME_ABANDONED,
                                   ts_clock_now_us() - request->arrived_us);
     log_outcome(request, TS_EVENT_REQUEST_LEFT, 0, "caller_left");
--- a/src/edge/broken_sends.c
+++ b/src/edge/broken_sends.c
@@ -56,9 +56,9 @@
                              send->sent_us, now_us);
         return true;
     }
-    if (outgoing->has_run_whole)
+    if (outgoing->has_completed)
         return true; // another backend completed the request, so it did not cause the crash
-    if (outgoing->sends_out > 0 && !outgoing->is_alone)
+    if (outgoing->sends_in_flight > 0 && !outgoing->is_isolated)
         return false; // another send in flight may still complete
     ts_quarantine_suspect(broken->quarantine, ts_outgoing_digest(outgoing), service, now_us);
     return true;
@@ -121,7 +121,7 @@
     ts_log(TS_EVENT_SEND_BROKEN,
            "request=%s digest=%s service=%s instance=%s after_ms=%lu awaited=%d lone=%d",
            send->outgoing->request_id, digest, send->instance->service->name, send->instance->id,
-           (unsigned long)(send->span_us / TS_US_PER_MS), send->is_awaited, send->is_lone);
+           (unsigned long)(send->span_us / TS_US_PER_MS), send->is_awaited, send->is_isolated);
 }
 
 void ts_broken_sends_add(void *ctx, const ts_broken_send_t *send)
@@ -129,7 +129,7 @@
     ts_broken_sends_t *broken = ctx;
     ts_count(TS_COUNTER_SENDS_BROKEN, 1);
     log_broken(send);
-    bool is_exonerated = send->outgoing->has_run_whole && !send->is_lone;
+    bool is_exonerated = send->outgoing->has_completed && !send->is_isolated;
     if (is_exonerated || !make_room(broken))
         return;
     ts_time_us_t now_us = ts_clock_now_us();
@@ -137,7 +137,7 @@
                                          .instance = send->instance,
                                          .sent_us = now_us - MIN(send->span_us, now_us),
                                          .broken_us = now_us,
-                                         .is_isolated = send->is_lone};
+                                         .is_isolated = send->is_isolated};
     send->instance->references++;
     g_array_append_val(broken->sends, unresolved_send);
     ts_instance_checks_begin(broken->checks, send->instance);
--- a/src/edge/gateway.c
+++ b/src/edge/gateway.c
@@ -273,7 +273,7 @@
     ts_count(TS_COUNTER_STANDSTILLS, 1);
     ts_log(TS_EVENT_RESUMED, "lost_ms=%lu requests=%u", (unsigned long)(lost_us / TS_US_PER_MS),
            gateway->requests);
-    ts_upstream_forget_times(gateway->upstream);
+    ts_upstream_mark_untimed(gateway->upstream);
     if (gateway->callers != NULL)
         ts_listener_each_busy(gateway->callers, recheck_request, NULL);
 }
@@ -292,15 +292,16 @@
     apply_settings(gateway);
     gateway->registry = ts_registry_create(settings->zone, gateway->zones);
     gateway->upstream = ts_upstream_create(loop, gateway->dialect);
-    ts_upstream_on_rest(gateway->upstream, idle_connections_max, gateway);
+    ts_upstream_set_idle_limit_callback(gateway->upstream, idle_connections_max, gateway);
     gateway->quarantine = ts_quarantine_create();
     gateway->broken_sends = ts_broken_sends_create(loop, gateway->quarantine);
-    ts_upstream_on_broken(gateway->upstream, ts_broken_sends_add, gateway->broken_sends);
+    ts_upstream_set_broken_send_callback(gateway->upstream, ts_broken_sends_add,
+                                         gateway->broken_sends);
     gateway->mirror = ts_store_mirror_create(gateway);
     gateway->store = ts_store_watch_create(gateway);
     gateway->pending = ts_pending_create(gateway);
     ts_gateway_open_quotas(gateway);
-    ts_upstream_on_late(gateway->upstream, ts_wake_watch(loop, on_resume, gateway));
+    ts_upstream_set_stall_detector(gateway->upstream, ts_wake_watch(loop, on_resume, gateway));
     ts_error_t error = open_listeners(gateway);
     if (error == TS_OK && settings->peers != NULL) {
         gateway->peers = ts_peers_open(gateway, gateway->mirror);
--- a/src/edge/request.c
+++ b/src/edge/request.c
@@ -138,9 +138,9 @@
     request->rank = compute_rank(route, identity->tenant);
     request->state = ts_gateway_route_state(gateway, route);
     request->parts_count = parts;
-    ts_outgoing_rule_t rule = {&gateway->dialect->headers,
-                               identity->tenant == NULL ? NULL : identity->tenant->name,
-                               ts_tenants_count(gateway->traffic->tenants) > 0};
+    ts_outgoing_options_t rule = {&gateway->dialect->headers,
+                                  identity->tenant == NULL ? NULL : identity->tenant->name,
+                                  ts_tenants_count(gateway->traffic->tenants) > 0};
     request->outgoing = ts_outgoing_compose(ts_caller_message(caller), &rule);
     request->outgoing->is_repeatable = route->is_repeatable;
     uv_timer_init(gateway->loop, &request->timer);
--- a/src/edge/request_caution.c
+++ b/src/edge/request_caution.c
@@ -95,17 +95,17 @@
 {
     if (!ts_mechanism_is_on(TS_MECHANISM_QUARANTINE))
         return false;
-    return !request->outgoing->has_run_whole && (request->is_suspect || request->broken_sends > 0);
+    return !request->outgoing->has_completed && (request->is_suspect || request->broken_sends > 0);
 }
 
 ts_send_permission_t ts_request_check_send(const ts_request_t *request, ts_time_us_t now_us)
 {
-    if (request->outgoing->has_run_whole)
+    if (request->outgoing->has_completed)
         return TS_SEND_ALLOWED;
     bool is_quarantined = find_state(request, now_us) == TS_QUARANTINE_QUARANTINED;
     if (!is_quarantined && !sends_one_at_a_time(request))
         return TS_SEND_ALLOWED;
-    if (request->outgoing->sends_out > 0)
+    if (request->outgoing->sends_in_flight > 0)
         return TS_SEND_DEFERRED;
     if (is_quarantined)
         return TS_SEND_FORBIDDEN;
@@ -125,8 +125,8 @@
 
 bool ts_request_mark_send_isolated(ts_request_t *request)
 {
-    request->outgoing->is_alone = sends_one_at_a_time(request);
-    return request->outgoing->is_alone;
+    request->outgoing->is_isolated = sends_one_at_a_time(request);
+    return request->outgoing->is_isolated;
 }
 
 void ts_request_record_broken_send(ts_request_t *request, ts_instance_t *instance,
@@ -142,7 +142,7 @@
 void ts_request_record_success(ts_request_t *request, const ts_service_t *service)
 {
     ts_quarantine_t *quarantine = request->gateway->quarantine;
-    request->outgoing->has_run_whole = true;
+    request->outgoing->has_completed = true;
     if (!ts_quarantine_is_empty(quarantine))
         ts_quarantine_clear(quarantine, ts_outgoing_digest(request->outgoing), service->name,
                             ts_clock_now_us());
--- a/src/edge/request_part.c
+++ b/src/edge/request_part.c
@@ -119,7 +119,7 @@
     unsigned index = part->sends++;
     ts_send_terms_t terms = {typical_us + travel_us, index > 0,
                              ts_request_mark_send_isolated(request)};
-    part->was_isolated = terms.is_lone;
+    part->was_isolated = terms.is_isolated;
     part->exchanges[index] =
         ts_upstream_send(request->gateway->upstream, instance, request->outgoing, &terms,
                          ts_part_handle_result, part);
--- a/src/http/bearer.c
+++ b/src/http/bearer.c
@@ -1,4 +1,4 @@
-/** Reading of bearer credentials. */
+/** Parser of bearer tokens. */
 #include "tealspar/bearer.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 
 static const char scheme[] = "Bearer";
 
-/* Signs of a token besides letters and digits (RFC 6750, b64token); '=' only at its end. */
+/* Characters of a token (b64token in RFC 6750), except '=', which is allowed only at its end. */
 static bool is_token_char(char c)
 {
     return g_ascii_isalnum(c) || (c != '\0' && strchr("-._~+/", c) != NULL);
@@ -31,12 +31,12 @@
     if (strncasecmp(text, scheme, scheme_length) != 0)
         return TS_E_UNAUTHENTICATED;
     text += scheme_length;
-    size_t blanks = strspn(text, " ");
-    text += blanks;
+    size_t spaces = strspn(text, " ");
+    text += spaces;
     size_t length = token_length(text);
-    size_t rest = strspn(text + length, " \t");
-    bool is_whole = blanks > 0 && length > 0 && text[length + rest] == '\0';
-    if (!is_whole)
+    size_t trailing = strspn(text + length, " \t");
+    bool is_well_formed = spaces > 0 && length > 0 && text[length + trailing] == '\0';
+    if (!is_well_formed)
         return TS_E_UNAUTHENTICATED;
     *bearer = (ts_bearer_t){text, length};
     return TS_OK;
--- a/src/http/http_message.c
+++ b/src/http/http_message.c
@@ -1,19 +1,19 @@
-/** Strict reading of HTTP/1.1 messages over http_parser. */
+/** Strict parser of HTTP/1.1 messages, based on http_parser. */
 #include "tealspar/http_message.h"
 
 #include <string.h>
 #include <strings.h>
 
 #define INTERIM_STATUS_MAX 199
-#define TEXT_KEPT_MAX 4096
-#define BODY_KEPT_MAX 16384
+#define TEXT_BUFFER_KEEP_MAX 4096
+#define BODY_BUFFER_KEEP_MAX 16384
 
 static ts_http_message_t *message_of(http_parser *parser)
 {
     return parser->data;
 }
 
-static int refuse(ts_http_message_t *message, ts_error_t error)
+static int set_error(ts_http_message_t *message, ts_error_t error)
 {
     message->error = error;
     return 1;
@@ -25,17 +25,17 @@
     return 0;
 }
 
-/* A field's name: texts are kept one after another, each with its NUL. */
+/* Appends to the current field's name, or begins a new field; strings are stored NUL-terminated. */
 static int read_field_name(http_parser *parser, const char *bytes, size_t length)
 {
     ts_http_message_t *message = message_of(parser);
     if (memchr(bytes, ' ', length) != NULL) {
-        return refuse(message, TS_E_BAD_REQUEST);
+        return set_error(message, TS_E_BAD_REQUEST);
     }
-    if (message->fields->len == 0 || message->in_value) {
+    if (message->fields->len == 0 || message->is_in_value) {
         ts_http_field_t field = {(uint32_t)message->text->len, 0, 0};
         g_array_append_val(message->fields, field);
-        message->in_value = false;
+        message->is_in_value = false;
     } else {
         g_string_truncate(message->text, message->text->len - 1);
     }
@@ -48,13 +48,13 @@
 {
     ts_http_message_t *message = message_of(parser);
     if (message->fields->len == 0) {
-        return refuse(message, TS_E_BAD_REQUEST);
+        return set_error(message, TS_E_BAD_REQUEST);
     }
     ts_http_field_t *field =
         &g_array_index(message->fields, ts_http_field_t, message->fields->len - 1);
-    if (!message->in_value) {
+    if (!message->is_in_value) {
         field->value = (uint32_t)message->text->len;
-        message->in_value = true;
+        message->is_in_value = true;
     } else {
         g_string_truncate(message->text, message->text->len - 1);
     }
@@ -70,22 +70,22 @@
     message->is_head_complete = true;
     for (guint i = 0; i < message->fields->len; i++) {
         ts_http_field_t *field = &g_array_index(message->fields, ts_http_field_t, i);
-        if (field->value == 0) { /* a field without a value: the NUL of its name */
+        if (field->value == 0) { /* empty value: points to the NUL after the name */
             field->value = field->name + (uint32_t)strlen(message->text->str + field->name);
         }
     }
     bool has_length = (parser->flags & F_CONTENTLENGTH) != 0;
     if (has_length && parser->content_length > message->body_max) {
-        return refuse(message, TS_E_TOO_LARGE) == 1 ? -1 : 0;
+        return set_error(message, TS_E_TOO_LARGE) == 1 ? -1 : 0;
     }
-    return message->answers_head ? 1 : 0;
+    return message->is_response_to_head ? 1 : 0;
 }
 
 static int read_body(http_parser *parser, const char *bytes, size_t length)
 {
     ts_http_message_t *message = message_of(parser);
     if (message->body->len + length > message->body_max) {
-        return refuse(message, TS_E_TOO_LARGE);
+        return set_error(message, TS_E_TOO_LARGE);
     }
     g_string_append_len(message->body, bytes, (gssize)length);
     return 0;
@@ -109,7 +109,7 @@
     .on_message_complete = end_message,
 };
 
-static void begin(ts_http_message_t *message)
+static void reset_state(ts_http_message_t *message)
 {
     http_parser_init(&message->parser, message->is_request ? HTTP_REQUEST : HTTP_RESPONSE);
     message->parser.data = message;
@@ -123,7 +123,7 @@
     message->is_head_complete = false;
     message->is_complete = false;
     message->keeps_alive = false;
-    message->in_value = false;
+    message->is_in_value = false;
     message->error = TS_OK;
 }
 
@@ -131,20 +131,20 @@
                           size_t body_max)
 {
     message->is_request = is_request;
-    message->answers_head = false;
+    message->is_response_to_head = false;
     message->head_max = head_max;
     message->body_max = body_max;
     message->target = g_string_new(NULL);
     message->text = g_string_new(NULL);
     message->fields = g_array_new(FALSE, FALSE, sizeof(ts_http_field_t));
     message->body = g_string_new(NULL);
-    begin(message);
+    reset_state(message);
 }
 
-/* Empties a buffer, and gives its memory back when one message made it large. */
-static GString *empty_buffer(GString *buffer, size_t kept_max)
+/* Empties a buffer; frees its memory if a message has made it larger than `keep_max`. */
+static GString *empty_buffer(GString *buffer, size_t keep_max)
 {
-    if (buffer->allocated_len > kept_max) {
+    if (buffer->allocated_len > keep_max) {
         g_string_free(buffer, TRUE);
         return g_string_new(NULL);
     }
@@ -154,11 +154,11 @@
 
 void ts_http_message_reset(ts_http_message_t *message)
 {
-    message->target = empty_buffer(message->target, TEXT_KEPT_MAX);
-    message->text = empty_buffer(message->text, TEXT_KEPT_MAX);
-    message->body = empty_buffer(message->body, BODY_KEPT_MAX);
+    message->target = empty_buffer(message->target, TEXT_BUFFER_KEEP_MAX);
+    message->text = empty_buffer(message->text, TEXT_BUFFER_KEEP_MAX);
+    message->body = empty_buffer(message->body, BODY_BUFFER_KEEP_MAX);
     g_array_set_size(message->fields, 0);
-    begin(message);
+    reset_state(message);
 }
 
 void ts_http_message_clear(ts_http_message_t *message)
@@ -170,8 +170,8 @@
 }
 
 /*
- * Follows the lines of a head byte by byte, up to the empty line that ends it: their ends must be
- * CR LF, as a bare LF reads differently in different programs. The parser takes both.
+ * Scans the lines of a head up to the empty line that ends it, and notes lines that end with a bare
+ * LF instead of CRLF. Programs disagree about a bare LF, and http_parser accepts it.
  */
 static void scan_head(ts_http_message_t *message, const char *bytes, size_t length)
 {
@@ -193,7 +193,7 @@
     }
 }
 
-/* Checks the bytes of the head that were just read. */
+/* Checks the line ends and the size of the head. */
 static void check_head(ts_http_message_t *message, const char *bytes, size_t length)
 {
     scan_head(message, bytes, length);
@@ -217,7 +217,7 @@
     while (used < length && !message->is_complete && message->error == TS_OK) {
         bool was_in_head = !message->is_head_complete;
         message->has_begun = true;
-        size_t step =
+        size_t parsed =
             http_parser_execute(&message->parser, &parser_settings, bytes + used, length - used);
         enum http_errno failure = HTTP_PARSER_ERRNO(&message->parser);
         if (failure != HPE_OK && failure != HPE_PAUSED && message->error == TS_OK) {
@@ -225,9 +225,9 @@
                 failure == HPE_HEADER_OVERFLOW ? TS_E_HEAD_TOO_LARGE : TS_E_BAD_REQUEST;
         }
         if (was_in_head && message->error == TS_OK) {
-            check_head(message, bytes + used, step);
+            check_head(message, bytes + used, parsed);
         }
-        used += step;
+        used += parsed;
         if (is_interim(message)) {
             ts_http_message_reset(message);
         }
@@ -267,8 +267,8 @@
     return count;
 }
 
-/* Whether a comma-separated list holds a word, letter case aside. */
-static bool list_holds(const char *list, const char *word)
+/* Whether a comma-separated list contains a word (case-insensitive). */
+static bool list_contains(const char *list, const char *word)
 {
     size_t length = strlen(word);
     while (*list != '\0') {
@@ -287,7 +287,7 @@
     for (guint i = 0; i < message->fields->len; i++) {
         const ts_http_field_t *field = &g_array_index(message->fields, ts_http_field_t, i);
         if (strcasecmp(ts_http_message_text(message, field->name), "Connection") == 0 &&
-            list_holds(ts_http_message_text(message, field->value), name)) {
+            list_contains(ts_http_message_text(message, field->value), name)) {
             return true;
         }
     }
--- a/src/http/stream_end.c
+++ b/src/http/stream_end.c
@@ -1,9 +1,9 @@
-/** How the other side ended a stream. */
+/** Distinguishes an orderly close from a reset. */
 #include "tealspar/stream_end.h"
 
 #include <sys/socket.h>
 
-bool ts_stream_ended_in_order(const uv_stream_t *stream)
+bool ts_stream_closed_cleanly(const uv_stream_t *stream)
 {
     uv_os_fd_t descriptor = -1;
     char byte = 0;
--- a/src/observe/byte_account.c
+++ b/src/observe/byte_account.c
@@ -1,7 +1,7 @@
-/** Bytes by cause and distance. */
+/** Byte counters by cause and distance. */
 #include "tealspar/byte_account.h"
 
-static uint64_t account[TS_BYTE_CAUSES][TS_DISTANCE_COUNT];
+static uint64_t counters[TS_BYTE_CAUSES][TS_DISTANCE_COUNT];
 
 static const char *const distance_names[TS_DISTANCE_COUNT] = {"zone", "region", "far"};
 
@@ -9,14 +9,14 @@
 static const char *const cause_names[] = {TS_BYTE_CAUSE_TABLE(TS_BYTE_CAUSE_NAME)};
 #undef TS_BYTE_CAUSE_NAME
 
-void ts_account_bytes(ts_byte_cause_t cause, ts_distance_t distance, size_t bytes)
+void ts_byte_account_add(ts_byte_cause_t cause, ts_distance_t distance, size_t bytes)
 {
-    account[cause][distance] += bytes;
+    counters[cause][distance] += bytes;
 }
 
-uint64_t ts_accounted_bytes(ts_byte_cause_t cause, ts_distance_t distance)
+uint64_t ts_byte_account_get(ts_byte_cause_t cause, ts_distance_t distance)
 {
-    return account[cause][distance];
+    return counters[cause][distance];
 }
 
 void ts_byte_account_write(GString *out)
@@ -28,6 +28,6 @@
         for (unsigned distance = 0; distance < TS_DISTANCE_COUNT; distance++)
             g_string_append_printf(
                 out, "tealspar_bytes_total{cause=\"%s\",distance=\"%s\"} %" G_GUINT64_FORMAT "\n",
-                cause_names[cause], distance_names[distance], account[cause][distance]);
+                cause_names[cause], distance_names[distance], counters[cause][distance]);
     }
 }
--- a/src/observe/log.c
+++ b/src/observe/log.c
@@ -10,8 +10,8 @@
 #include "tealspar/counters.h"
 #include "tealspar/line_writer.h"
 
-#define LINES_PER_S 400
-#define BYTES_PER_S (128U * 1024U)
+#define LINES_MAX_PER_S 400
+#define BYTES_MAX_PER_S (128U * 1024U)
 
 typedef struct event_row {
     GLogLevelFlags level;
@@ -26,7 +26,7 @@
 static ts_log_format_t log_format = TS_LOG_TEXT;
 static GLogLevelFlags log_minimum = G_LOG_LEVEL_MESSAGE;
 static ts_line_writer_t *log_writer;
-static gboolean is_flushed_by_loop; /* a loop calls ts_log_flush */
+static gboolean is_flushed_by_loop; /* ts_log_flush() is called by the event loop */
 
 static const char *name_level(GLogLevelFlags level)
 {
@@ -70,7 +70,7 @@
     }
 }
 
-/* Whether a value is written without quotes. */
+/* Whether a value is written as a JSON number. */
 static gboolean is_number(const char *text, size_t length)
 {
     size_t digits = strspn(text, "0123456789");
@@ -92,7 +92,7 @@
     g_string_append_c(out, '"');
 }
 
-/* Whether a text is made of "name=value" words. */
+/* Whether a text consists of "name=value" pairs. */
 static gboolean is_fields(const char *text)
 {
     while (*text != '\0') {
@@ -138,12 +138,12 @@
     g_string_append_c(out, '}');
 }
 
-static ts_line_rank_t rank_of(GLogLevelFlags level, const char *event)
+static ts_line_priority_t line_priority(GLogLevelFlags level, const char *event)
 {
     if ((level & G_LOG_LEVEL_MASK) <= G_LOG_LEVEL_MESSAGE) {
-        return TS_LINE_NEEDED;
+        return TS_LINE_IMPORTANT;
     }
-    return strcmp(event, event_rows[TS_EVENT_REQUEST_DONE].name) == 0 ? TS_LINE_SAMPLE
+    return strcmp(event, event_rows[TS_EVENT_REQUEST_DONE].name) == 0 ? TS_LINE_SAMPLED
                                                                       : TS_LINE_DETAIL;
 }
 
@@ -151,7 +151,7 @@
 {
     GString *line = g_string_sized_new(256);
     format_line(line, level, event, detail);
-    if (ts_line_writer_add(log_writer, rank_of(level, event), line->str, line->len,
+    if (ts_line_writer_add(log_writer, line_priority(level, event), line->str, line->len,
                            ts_clock_now_us())) {
         ts_count(TS_COUNTER_LOG_LINES, 1);
     } else {
@@ -163,7 +163,7 @@
 static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize count,
                                    gpointer data)
 {
-    /* GLib orders levels by bit: a more severe level is a lower bit. */
+    /* GLib's level flags: more severe levels are lower bits. */
     if ((level & G_LOG_LEVEL_MASK) > log_minimum) {
         return G_LOG_WRITER_HANDLED;
     }
@@ -177,14 +177,14 @@
 
 void ts_log_flush(void)
 {
-    static ts_time_us_t told_us;
+    static ts_time_us_t reported_us;
     ts_time_us_t now_us = ts_clock_now_us();
     is_flushed_by_loop = TRUE;
     if (log_writer == NULL) {
         return;
     }
-    if (ts_line_writer_has_dropped(log_writer) && now_us - told_us > TS_US_PER_S) {
-        told_us = now_us;
+    if (ts_line_writer_has_dropped(log_writer) && now_us - reported_us > TS_US_PER_S) {
+        reported_us = now_us;
         ts_log(TS_EVENT_LOG_DROPPED, "lines=%" PRIu64, ts_line_writer_take_dropped(log_writer));
     }
     ts_line_writer_flush_batch(log_writer, now_us);
@@ -200,7 +200,7 @@
 gboolean ts_log_is_wanted(ts_event_t event)
 {
     if (event == TS_EVENT_REQUEST_DONE && log_writer != NULL &&
-        !ts_line_writer_takes_sample(log_writer, ts_clock_now_us())) {
+        !ts_line_writer_accepts_sample(log_writer, ts_clock_now_us())) {
         return FALSE;
     }
     return (event_rows[event].level & G_LOG_LEVEL_MASK) <= log_minimum;
@@ -214,7 +214,7 @@
     log_format = format;
     log_minimum = minimum;
     if (log_writer == NULL) {
-        log_writer = ts_line_writer_create(STDOUT_FILENO, LINES_PER_S, BYTES_PER_S);
+        log_writer = ts_line_writer_create(STDOUT_FILENO, LINES_MAX_PER_S, BYTES_MAX_PER_S);
     }
     if (!installed) {
         g_log_set_writer_func(write_line, NULL, NULL);
--- a/src/observe/tenant_counters.c
+++ b/src/observe/tenant_counters.c
@@ -1,26 +1,27 @@
-/** Requests by tenant and outcome. */
+/** Request counters by tenant and outcome. */
 #include "tealspar/tenant_counters.h"
 
-#define REST "(others)"
+/* Label shared by tenants without one of their own. */
+#define OTHERS_LABEL "(others)"
 
 typedef struct tenant_row {
     uint64_t outcomes[TS_TENANT_OUTCOMES];
 } tenant_row_t;
 
-static GHashTable *rows; /* name -> tenant_row_t, owned; NULL: nothing was counted */
+static GHashTable *rows; /* tenant -> tenant_row_t, owned; NULL until the first request */
 
 static const char *const outcome_names[TS_TENANT_OUTCOMES] = {"served", "over_quota", "refused",
                                                               "failed", "left"};
 
-static tenant_row_t *find_row(const char *tenant)
+static tenant_row_t *ensure_row(const char *tenant)
 {
     if (rows == NULL)
         rows = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     tenant_row_t *row = g_hash_table_lookup(rows, tenant);
     if (row != NULL)
         return row;
-    if (g_hash_table_size(rows) >= TS_TENANTS_NAMED_MAX && g_strcmp0(tenant, REST) != 0)
-        return find_row(REST);
+    if (g_hash_table_size(rows) >= TS_TENANT_LABELS_MAX && g_strcmp0(tenant, OTHERS_LABEL) != 0)
+        return ensure_row(OTHERS_LABEL);
     row = g_new0(tenant_row_t, 1);
     g_hash_table_insert(rows, g_strdup(tenant), row);
     return row;
@@ -28,10 +29,10 @@
 
 void ts_tenant_count(const char *tenant, ts_tenant_outcome_t outcome)
 {
-    find_row(tenant)->outcomes[outcome]++;
+    ensure_row(tenant)->outcomes[outcome]++;
 }
 
-uint64_t ts_tenant_counted(const char *tenant, ts_tenant_outcome_t outcome)
+uint64_t ts_tenant_get_count(const char *tenant, ts_tenant_outcome_t outcome)
 {
     const tenant_row_t *row = rows == NULL ? NULL : g_hash_table_lookup(rows, tenant);
     return row == NULL ? 0 : row->outcomes[outcome];
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -51,7 +51,7 @@
     uint8_t *bytes = g_malloc(length);
     ts_peer__frame__pack(frame, bytes);
     ts_peer_link_send(peers->link, address, bytes, length);
-    ts_account_bytes(byte_cause(frame), ts_peers_distance(peers, address), length);
+    ts_byte_account_add(byte_cause(frame), ts_peers_distance(peers, address), length);
     g_free(bytes);
 }
 
--- a/src/peers/peers_store.c
+++ b/src/peers/peers_store.c
@@ -182,7 +182,7 @@
         entry->is_deleted = row->gone;
         entry->length = row->value.len;
         entry->value = row->gone ? NULL : g_strndup((const char *)row->value.data, row->value.len);
-        peers->gateway->dialect->name_entry(entry);
+        peers->gateway->dialect->classify_entry(entry);
     }
     GPtrArray *entries = g_ptr_array_ref(page->entries);
     ts_store_page_free(page);
--- a/src/proto/wire.c
+++ b/src/proto/wire.c
@@ -1,4 +1,4 @@
-/** Frames by protobuf-c. */
+/** Frames in protobuf-c, see tealspar/wire.h. */
 #include "tealspar/wire.h"
 
 #include <string.h>
@@ -16,13 +16,13 @@
     GArray *cancels;
 };
 
-/* protobuf-c wants char pointers that are never NULL in required places. */
+/* protobuf-c requires non-NULL pointers for these strings. */
 static char *text_or_empty(char *text)
 {
     return text == NULL ? (char *)protobuf_c_empty_string : text;
 }
 
-/* ---- building ---- */
+/* ---- packing ---- */
 
 static TsWire__Part *build_part(const ts_part_t *part)
 {
@@ -40,7 +40,7 @@
     ts_time_us_t now_us = ts_clock_now_us();
     const ts_work_t *work = message->work;
     if (work->deadline_us <= now_us) {
-        return; /* the front has given up by now */
+        return; /* past the deadline: the sender no longer waits for the results */
     }
     TsWire__Subrequests *wire = g_new(TsWire__Subrequests, 1);
     ts_wire__subrequests__init(wire);
@@ -192,7 +192,7 @@
 {
     TsWire__Subreply *wire = pointer;
     if (wire->n_hits > 0) {
-        g_free(wire->hits[0]); /* the rows are one block */
+        g_free(wire->hits[0]); /* all hits are in one allocation */
     }
     g_free(wire->hits);
     g_free(wire);
@@ -224,7 +224,7 @@
 }
 
 static void deliver_subrequests(const TsWire__Subrequests *wire, uint64_t peer,
-                                ts_wire_receiver_t receiver, void *context)
+                                ts_wire_message_cb_t receiver, void *context)
 {
     ts_work_t *work = g_new0(ts_work_t, 1);
     work->references = 1;
@@ -250,7 +250,7 @@
 }
 
 static void deliver_subreply(const TsWire__Subreply *wire, uint64_t peer,
-                             ts_wire_receiver_t receiver, void *context)
+                             ts_wire_message_cb_t receiver, void *context)
 {
     ts_subreply_message_t *message = ts_subreply_message(peer);
     ts_subreply_t *subreply = &message->subreply;
@@ -275,7 +275,7 @@
 }
 
 static void deliver_gossip(const TsWire__Frame *frame, const ProtobufCBinaryData *data,
-                           ts_wire_receiver_t receiver, void *context)
+                           ts_wire_message_cb_t receiver, void *context)
 {
     ts_gossip_message_t *message =
         ts_gossip_message(frame->sender, frame->sender_address, data->data, data->len);
@@ -283,7 +283,7 @@
 }
 
 static void deliver_document(const TsWire__Frame *frame, const TsWire__Document *wire,
-                             ts_wire_receiver_t receiver, void *context)
+                             ts_wire_message_cb_t receiver, void *context)
 {
     ts_document_message_t *message = ts_document_message(frame->sender, frame->sender_address);
     message->wanted = wire->wanted;
@@ -301,7 +301,7 @@
            frame->sender[0] != '\0' && strcmp(frame->sender, identity->name) != 0;
 }
 
-static void tell_sender(const TsWire__Frame *frame, ts_wire_sender_t sender, void *context)
+static void report_sender(const TsWire__Frame *frame, ts_wire_sender_cb_t sender, void *context)
 {
     ts_wire_identity_t identity = {frame->cluster, frame->sender, frame->sender_address,
                                    frame->incarnation};
@@ -309,8 +309,8 @@
 }
 
 ts_error_t ts_wire_frame_receive(const ts_wire_identity_t *identity, const uint8_t *bytes,
-                                 size_t length, ts_wire_sender_t sender,
-                                 ts_wire_receiver_t receiver, void *context)
+                                 size_t length, ts_wire_sender_cb_t sender,
+                                 ts_wire_message_cb_t receiver, void *context)
 {
     TsWire__Frame *frame = ts_wire__frame__unpack(NULL, length, bytes);
     if (frame == NULL) {
@@ -322,7 +322,7 @@
     }
     uint64_t peer = ts_hash_text(frame->sender);
     if (sender != NULL)
-        tell_sender(frame, sender, context);
+        report_sender(frame, sender, context);
     for (size_t i = 0; i < frame->n_subrequests; i++) {
         deliver_subrequests(frame->subrequests[i], peer, receiver, context);
     }
@@ -343,7 +343,7 @@
 }
 
 ts_error_t ts_wire_frame_unpack(const ts_wire_identity_t *identity, const uint8_t *bytes,
-                                size_t length, ts_wire_receiver_t receiver, void *context)
+                                size_t length, ts_wire_message_cb_t receiver, void *context)
 {
     return ts_wire_frame_receive(identity, bytes, length, NULL, receiver, context);
 }
--- a/src/upstream/upstream.c
+++ b/src/upstream/upstream.c
@@ -1,4 +1,4 @@
-/** Connections to back ends, one request at a time on each. */
+/** Connections to backends, see tealspar/upstream.h. */
 #include "tealspar/upstream.h"
 
 #include <stdlib.h>
@@ -11,14 +11,14 @@
 #define ANSWER_HEAD_MAX 65536
 #define ANSWER_BODY_MAX (4U * 1024U * 1024U)
 #define CONNECT_TIMEOUT_US (1000 * TS_US_PER_MS)
-/* A connection that rested longer may be closing: unrepeatable requests do not go there. */
-#define FRESH_US (500 * TS_US_PER_MS)
-/* Rest allowed when the back end does not tell, and the margin kept when it does. */
-#define REST_DEFAULT_US (4 * TS_US_PER_S)
-#define REST_MARGIN_US (700 * TS_US_PER_MS)
-/* A reset this soon after the sending comes of the connection, not of the request. */
-#define RESET_PROMPT_US (60 * TS_US_PER_MS)
-#define TICK_MS 50
+/* Unrepeatable requests use no connection idle for longer, as the backend may be closing it. */
+#define UNREPEATABLE_IDLE_MAX_US (500 * TS_US_PER_MS)
+/* Idle timeout if the backend does not announce one, and safety margin if it does. */
+#define IDLE_TIMEOUT_DEFAULT_US (4 * TS_US_PER_S)
+#define IDLE_TIMEOUT_MARGIN_US (700 * TS_US_PER_MS)
+/* A reset within this time after sending is caused by the connection, not by the request. */
+#define CONNECTION_RESET_MAX_US (60 * TS_US_PER_MS)
+#define CHECK_INTERVAL_MS 50
 #define STATUS_MISDIRECTED 421
 #define STATUS_SUCCESS_FIRST 200
 #define STATUS_SERVER_ERROR 500
@@ -30,13 +30,13 @@
     uv_write_t writing;
     ts_upstream_t *upstream;
     ts_instance_t *instance;
-    ts_exchange_t *exchange; /**< the one it carries, or NULL */
-    GList place;             /**< in the instance's idle queue */
+    ts_exchange_t *exchange; /**< its current exchange, or NULL */
+    GList idle_link;         /**< link in the instance's idle queue */
     ts_http_message_t answer;
-    ts_time_us_t rested_us;     /**< since when it rests; 0: it has carried no answer yet */
-    ts_time_us_t rest_taken_us; /**< how long it had rested when the request was sent */
-    ts_time_us_t rest_us;       /**< how long it may rest */
-    GString *sending;           /**< bytes on their way */
+    ts_time_us_t idle_since_us;       /**< when it last became idle; 0: never */
+    ts_time_us_t idle_before_send_us; /**< how long it was idle before the current exchange */
+    ts_time_us_t idle_timeout_us;     /**< it is closed when idle for longer */
+    GString *request_bytes;           /**< the request being sent */
     bool is_idle;
     bool is_closing;
 } ts_connection_t;
@@ -48,14 +48,14 @@
     ts_outgoing_t *outgoing;
     ts_exchange_done_t done; /**< NULL once released */
     void *owner;
-    ts_time_us_t begun_us;
+    ts_time_us_t started_us;
     ts_time_us_t sent_us;
-    ts_time_us_t until_us; /**< cancelled after this */
-    bool is_unsendable;    /**< its connection took nothing of it */
-    double typical_us;     /**< what such a request takes; 0: not known, or judged already */
-    bool is_untimed;       /**< this process stood still while it was out */
-    ts_byte_cause_t cause; /**< what its bytes are for */
-    bool is_lone;          /**< its request is tried by one send at a time */
+    ts_time_us_t until_us; /**< once released, it is cancelled at this time */
+    bool has_send_failed;  /**< the request could not be sent completely */
+    double typical_us;     /**< usual response time; 0: not known, or already recorded as late */
+    bool is_untimed;       /**< this process stalled during the exchange */
+    ts_byte_cause_t cause; /**< cause that its bytes are counted under */
+    bool is_isolated;      /**< as in ts_send_terms_t */
     ts_exchange_t *previous;
     ts_exchange_t *next;
 };
@@ -63,13 +63,13 @@
 struct ts_upstream {
     uv_loop_t *loop;
     const ts_dialect_t *dialect;
-    uv_timer_t tick; /**< runs while there are exchanges */
+    uv_timer_t timer; /**< runs while there are exchanges */
     ts_exchange_t *exchanges;
-    ts_upstream_kept_t kept; /* NULL: all connections are kept */
-    void *kept_ctx;
-    ts_upstream_broken_t broken; /* NULL: nobody is told */
-    void *broken_ctx;
-    ts_wake_t *wake; /* NULL: nobody notices */
+    ts_upstream_idle_limit_cb_t idle_limit; /* NULL: no limit */
+    void *idle_limit_ctx;
+    ts_upstream_broken_send_cb_t broken_send; /* may be NULL */
+    void *broken_send_ctx;
+    ts_wake_t *stall_detector; /* may be NULL */
 };
 
 static void close_connection(ts_connection_t *connection);
@@ -90,11 +90,11 @@
         exchange->next->previous = exchange->previous;
     }
     if (upstream->exchanges == NULL) {
-        uv_timer_stop(&upstream->tick);
+        uv_timer_stop(&upstream->timer);
     }
 }
 
-/* Takes the exchange off its connection and frees it. */
+/* Detaches the exchange from its connection and frees it. */
 static void free_exchange(ts_exchange_t *exchange)
 {
     unlink_exchange(exchange);
@@ -106,9 +106,9 @@
     g_free(exchange);
 }
 
-/* What the answer tells of its instance's load; something unreadable is counted and passed over. */
-static void take_load(const ts_exchange_t *exchange, const ts_http_message_t *answer,
-                      ts_time_us_t now_us)
+/* Updates the instance's reported load; a malformed report is counted and clears it. */
+static void update_reported_load(const ts_exchange_t *exchange, const ts_http_message_t *answer,
+                                 ts_time_us_t now_us)
 {
     const ts_dialect_t *dialect = exchange->upstream->dialect;
     const char *text = ts_http_message_find(answer, dialect->headers.load);
@@ -122,16 +122,16 @@
         ts_count_error(error);
 }
 
-/* Tells the owner, if there is one still, and frees the exchange. */
+/* Records the result, calls `done` unless released, and frees the exchange. */
 static void end_exchange(ts_exchange_t *exchange, ts_exchange_result_t *result)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     result->span_us = exchange->sent_us == 0 ? 0 : now_us - exchange->sent_us;
-    if (result->span_us > TS_WAKE_LEAST_US && exchange->upstream->wake != NULL)
-        ts_wake_look(exchange->upstream->wake); // before the answer is held against anybody
+    if (result->span_us > TS_WAKE_LEAST_US && exchange->upstream->stall_detector != NULL)
+        ts_wake_look(exchange->upstream->stall_detector); // may set is_untimed
     result->is_untimed = exchange->is_untimed;
     if (result->answer != NULL)
-        take_load(exchange, result->answer, now_us);
+        update_reported_load(exchange, result->answer, now_us);
     if (result->error == TS_OK && result->run == TS_RUN_DONE) {
         bool is_failure = result->answer->parser.status_code >= STATUS_SERVER_ERROR;
         ts_instance_note_result(exchange->instance, is_failure, now_us);
@@ -142,42 +142,42 @@
     }
     if (result->error == TS_OK && result->answer->parser.status_code == STATUS_MISDIRECTED)
         ts_instance_note_ended(exchange->instance);
-    exchange->outgoing->sends_out--;
+    exchange->outgoing->sends_in_flight--;
     if (exchange->done != NULL) {
         exchange->done(exchange, result, exchange->owner);
     }
     free_exchange(exchange);
 }
 
-/* What a connection that was reset without an answer says of itself. */
-static void note_reset(const ts_connection_t *connection)
+/* Records a prompt reset: the backend rejected the connection, or had closed it while idle. */
+static void record_reset(const ts_connection_t *connection)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     const ts_exchange_t *exchange = connection->exchange;
-    bool is_prompt = now_us - exchange->sent_us < RESET_PROMPT_US;
+    bool is_prompt = now_us - exchange->sent_us < CONNECTION_RESET_MAX_US;
     if (exchange->sent_us == 0 || !is_prompt || connection->answer.has_begun)
-        return; /* it was at work, or had begun to answer */
-    if (connection->rested_us == 0)
+        return; /* the request was being processed, or the answer had begun */
+    if (connection->idle_since_us == 0)
         ts_instance_note_connection_rejected(connection->instance, now_us);
     else
-        ts_instance_note_idle_reset(connection->instance, connection->rest_taken_us, now_us);
+        ts_instance_note_idle_reset(connection->instance, connection->idle_before_send_us, now_us);
 }
 
-/* Tells of a send that the end of its connection broke off. */
-static void tell_broken(const ts_exchange_t *exchange)
+/* Reports a send that failed with its connection. */
+static void report_broken_send(const ts_exchange_t *exchange)
 {
     const ts_upstream_t *upstream = exchange->upstream;
-    if (upstream->broken == NULL)
+    if (upstream->broken_send == NULL)
         return;
     ts_broken_send_t send = {exchange->instance, exchange->outgoing,
                              ts_clock_now_us() - exchange->sent_us, exchange->done != NULL,
-                             exchange->is_lone};
-    upstream->broken(upstream->broken_ctx, &send);
+                             exchange->is_isolated};
+    upstream->broken_send(upstream->broken_send_ctx, &send);
 }
 
 /*
- * The exchange fails with its connection. A request that left and brought no answer is a failure of
- * its instance, whatever the reason.
+ * Closes the connection and ends its exchange with an error. A request that was sent and not
+ * answered counts as a failure of the instance, whatever the reason.
  */
 static void fail_exchange(ts_exchange_t *exchange, ts_error_t error)
 {
@@ -189,7 +189,7 @@
     ts_count(TS_COUNTER_SEND_FAILURES, 1);
     ts_count_error(error);
     if (exchange->sent_us != 0 && error == TS_E_IO)
-        tell_broken(exchange);
+        report_broken_send(exchange);
     connection->exchange = NULL;
     exchange->connection = NULL;
     close_connection(connection);
@@ -203,18 +203,18 @@
     ts_exchange_t *next = NULL;
     for (ts_exchange_t *exchange = upstream->exchanges; exchange != NULL; exchange = next) {
         next = exchange->next;
-        bool is_late_connect =
-            exchange->sent_us == 0 && now_us - exchange->begun_us > CONNECT_TIMEOUT_US;
+        bool has_connect_timed_out =
+            exchange->sent_us == 0 && now_us - exchange->started_us > CONNECT_TIMEOUT_US;
         if (now_us > exchange->until_us && exchange->done == NULL) {
             ts_exchange_cancel(exchange);
-            return; /* the list may have changed: the rest on the next turn */
+            return; /* the list may have changed: continue on the next timer call */
         }
-        if (exchange->is_unsendable) {
-            uv_timer_start(timer, check_exchanges, 0, TICK_MS);
+        if (exchange->has_send_failed) {
+            uv_timer_start(timer, check_exchanges, 0, CHECK_INTERVAL_MS);
             fail_exchange(exchange, TS_E_CONNECT);
             return;
         }
-        if (is_late_connect) {
+        if (has_connect_timed_out) {
             ts_count(TS_COUNTER_CONNECTS_FAILED, 1);
             ts_instance_note_failure(exchange->instance, now_us);
             fail_exchange(exchange, TS_E_CONNECT);
@@ -227,7 +227,7 @@
 {
     ts_connection_t *connection = exchange->connection;
     exchange->done = NULL;
-    exchange->outgoing->sends_out--;
+    exchange->outgoing->sends_in_flight--;
     if (connection != NULL) {
         connection->exchange = NULL;
         exchange->connection = NULL;
@@ -271,14 +271,14 @@
 {
     ts_connection_t *connection = handle->data;
     ts_http_message_clear(&connection->answer);
-    g_string_free(connection->sending, TRUE);
+    g_string_free(connection->request_bytes, TRUE);
     g_free(connection);
 }
 
-static void leave_idle(ts_connection_t *connection)
+static void remove_from_idle(ts_connection_t *connection)
 {
     if (connection->is_idle) {
-        g_queue_unlink(&connection->instance->idle, &connection->place);
+        g_queue_unlink(&connection->instance->idle, &connection->idle_link);
         connection->is_idle = false;
     }
 }
@@ -289,12 +289,12 @@
         return;
     }
     connection->is_closing = true;
-    leave_idle(connection);
+    remove_from_idle(connection);
     connection->instance->connections--;
     uv_close((uv_handle_t *)&connection->socket, free_connection);
 }
 
-static void write_done(uv_write_t *request, int status)
+static void on_written(uv_write_t *request, int status)
 {
     ts_connection_t *connection = request->data;
     if (status < 0 && status != UV_ECANCELED && connection->exchange != NULL) {
@@ -302,14 +302,14 @@
     }
 }
 
-/* Composes the bytes: the shared head, what is left of the time, and whom we expect there. */
-static void compose(ts_connection_t *connection, ts_time_us_t now_us)
+/* Builds the request: the shared head, the remaining time, the expected instance and the body. */
+static void build_request(ts_connection_t *connection, ts_time_us_t now_us)
 {
     const ts_outgoing_t *outgoing = connection->exchange->outgoing;
     const ts_header_names_t *names = &connection->upstream->dialect->headers;
     uint64_t left_ms =
         outgoing->deadline_us > now_us ? (outgoing->deadline_us - now_us) / TS_US_PER_MS : 0;
-    GString *out = connection->sending;
+    GString *out = connection->request_bytes;
     g_string_truncate(out, 0);
     g_string_append_len(out, outgoing->head->str, (gssize)outgoing->head->len);
     g_string_append_printf(out, "%s: %lu\r\n%s: %s\r\n\r\n", names->deadline_ms,
@@ -321,34 +321,36 @@
 }
 
 /*
- * The request could not be sent, or not the whole of it: the next turn of the loop reports it, as
- * the caller of ts_upstream_send does not expect the end of an exchange that it has not been given
- * yet.
+ * Schedules the failure of an exchange whose request could not be sent completely. It is reported
+ * on the next loop iteration, as `done` must not be called before ts_upstream_send() has returned
+ * the exchange.
  */
-static void fail_soon(ts_exchange_t *exchange)
+static void schedule_failure(ts_exchange_t *exchange)
 {
-    exchange->is_unsendable = true;
-    uv_timer_start(&exchange->upstream->tick, check_exchanges, 0, TICK_MS);
+    exchange->has_send_failed = true;
+    uv_timer_start(&exchange->upstream->timer, check_exchanges, 0, CHECK_INTERVAL_MS);
 }
 
 static void write_request(ts_connection_t *connection)
 {
     ts_exchange_t *exchange = connection->exchange;
     exchange->sent_us = ts_clock_now_us();
-    compose(connection, exchange->sent_us);
-    connection->answer.answers_head = exchange->outgoing->is_head_method;
-    ts_account_bytes(exchange->cause, connection->instance->distance, connection->sending->len);
+    build_request(connection, exchange->sent_us);
+    connection->answer.is_response_to_head = exchange->outgoing->is_head_method;
+    ts_byte_account_add(exchange->cause, connection->instance->distance,
+                        connection->request_bytes->len);
     ts_count(TS_COUNTER_SENDS, 1);
     ts_count(TS_COUNTER_SENDS_REGION, connection->instance->distance == TS_DISTANCE_SAME_REGION);
     ts_count(TS_COUNTER_SENDS_FAR, connection->instance->distance == TS_DISTANCE_OTHER_REGION);
-    uv_buf_t buffer = uv_buf_init(connection->sending->str, (unsigned)connection->sending->len);
+    uv_buf_t buffer =
+        uv_buf_init(connection->request_bytes->str, (unsigned)connection->request_bytes->len);
     int sent = uv_try_write((uv_stream_t *)&connection->socket, &buffer, 1);
     if (sent == (int)buffer.len) {
         return;
     }
     if (sent < 0 && sent != UV_EAGAIN) {
-        exchange->sent_us = 0; /* nothing of it left */
-        fail_soon(exchange);
+        exchange->sent_us = 0; /* nothing was sent */
+        schedule_failure(exchange);
         return;
     }
     if (sent > 0) {
@@ -357,13 +359,13 @@
     }
     connection->writing.data = connection;
     if (uv_write(&connection->writing, (uv_stream_t *)&connection->socket, &buffer, 1,
-                 write_done) != 0) {
+                 on_written) != 0) {
         exchange->sent_us = sent > 0 ? exchange->sent_us : 0;
-        fail_soon(exchange);
+        schedule_failure(exchange);
     }
 }
 
-static void connected(uv_connect_t *request, int status)
+static void on_connected(uv_connect_t *request, int status)
 {
     ts_connection_t *connection = request->data;
     if (connection->is_closing) {
@@ -384,9 +386,9 @@
     }
     begin_reading(connection);
     if (exchange != NULL) {
-        ts_instance_note_connected(connection->instance, exchange->begun_us);
+        ts_instance_note_connected(connection->instance, exchange->started_us);
         ts_registry_add_rtt_sample(connection->instance->service->registry, connection->instance,
-                                   ts_clock_now_us() - exchange->begun_us);
+                                   ts_clock_now_us() - exchange->started_us);
         write_request(connection);
     }
 }
@@ -396,9 +398,9 @@
     ts_connection_t *connection = g_new0(ts_connection_t, 1);
     connection->upstream = upstream;
     connection->instance = instance;
-    connection->place.data = connection;
-    connection->rest_us = REST_DEFAULT_US;
-    connection->sending = g_string_new(NULL);
+    connection->idle_link.data = connection;
+    connection->idle_timeout_us = IDLE_TIMEOUT_DEFAULT_US;
+    connection->request_bytes = g_string_new(NULL);
     ts_http_message_init(&connection->answer, false, ANSWER_HEAD_MAX, ANSWER_BODY_MAX);
     uv_tcp_init(upstream->loop, &connection->socket);
     uv_tcp_nodelay(&connection->socket, 1);
@@ -409,22 +411,22 @@
     return connection;
 }
 
-static ts_connection_t *take_idle(ts_instance_t *instance, bool is_repeatable)
+static ts_connection_t *take_idle_connection(ts_instance_t *instance, bool is_repeatable)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     while (instance->idle.length > 0) {
         ts_connection_t *connection = instance->idle.head->data;
-        ts_time_us_t rest_us = now_us - connection->rested_us;
-        ts_time_us_t most_us = ts_instance_idle_max_us(instance, now_us);
-        if (rest_us > MIN(connection->rest_us, most_us)) {
+        ts_time_us_t idle_us = now_us - connection->idle_since_us;
+        ts_time_us_t idle_max_us = ts_instance_idle_max_us(instance, now_us);
+        if (idle_us > MIN(connection->idle_timeout_us, idle_max_us)) {
             close_connection(connection);
             continue;
         }
-        if (!is_repeatable && rest_us > FRESH_US) {
+        if (!is_repeatable && idle_us > UNREPEATABLE_IDLE_MAX_US) {
             return NULL;
         }
-        leave_idle(connection);
-        connection->rest_taken_us = rest_us;
+        remove_from_idle(connection);
+        connection->idle_before_send_us = idle_us;
         return connection;
     }
     return NULL;
@@ -439,17 +441,17 @@
     exchange->outgoing = ts_outgoing_ref(outgoing);
     exchange->done = done;
     exchange->owner = owner;
-    exchange->begun_us = ts_clock_now_us();
+    exchange->started_us = ts_clock_now_us();
     exchange->until_us = outgoing->deadline_us;
     exchange->next = upstream->exchanges;
     if (exchange->next != NULL) {
         exchange->next->previous = exchange;
     } else {
-        uv_timer_start(&upstream->tick, check_exchanges, TICK_MS, TICK_MS);
+        uv_timer_start(&upstream->timer, check_exchanges, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS);
     }
     upstream->exchanges = exchange;
     instance->in_flight++;
-    outgoing->sends_out++;
+    outgoing->sends_in_flight++;
     return exchange;
 }
 
@@ -459,9 +461,9 @@
 {
     ts_exchange_t *exchange = create_exchange(upstream, instance, outgoing, done, owner);
     exchange->typical_us = terms->typical_us;
-    exchange->is_lone = terms->is_lone;
+    exchange->is_isolated = terms->is_isolated;
     exchange->cause = terms->is_repeat ? TS_BYTES_SECOND_SEND : TS_BYTES_FIRST_SEND;
-    ts_connection_t *connection = take_idle(instance, outgoing->is_repeatable);
+    ts_connection_t *connection = take_idle_connection(instance, outgoing->is_repeatable);
     bool is_new = connection == NULL;
     if (is_new) {
         connection = open_connection(upstream, instance);
@@ -474,42 +476,44 @@
         return exchange;
     }
     if (uv_tcp_connect(&connection->connecting, &connection->socket,
-                       (const struct sockaddr *)&instance->address, connected) != 0) {
+                       (const struct sockaddr *)&instance->address, on_connected) != 0) {
         ts_count(TS_COUNTER_CONNECTS_FAILED, 1);
-        fail_soon(exchange);
+        schedule_failure(exchange);
     }
     return exchange;
 }
 
 /* -- Answers ----------------------------------------------------------------------------------- */
 
-static void allocate(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
+static void provide_read_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
 {
-    static char bytes[65536]; /* one loop, and each read is used up at once */
+    static char bytes[65536]; /* shared: there is one loop, and each read is consumed immediately */
     *buffer = uv_buf_init(bytes, sizeof(bytes));
 }
 
-/* How long the back end lets the connection rest, by its Keep-Alive field. */
-static ts_time_us_t read_rest(const ts_http_message_t *answer)
+/* Idle timeout of the connection, from the backend's Keep-Alive field. */
+static ts_time_us_t parse_idle_timeout(const ts_http_message_t *answer)
 {
     const char *value = ts_http_message_find(answer, "Keep-Alive");
     const char *timeout = value == NULL ? NULL : strcasestr(value, "timeout=");
     if (timeout == NULL) {
-        return REST_DEFAULT_US;
+        return IDLE_TIMEOUT_DEFAULT_US;
     }
-    ts_time_us_t told_us = strtoul(timeout + strlen("timeout="), NULL, 10) * TS_US_PER_S;
-    return told_us > REST_MARGIN_US ? told_us - REST_MARGIN_US : 0;
+    ts_time_us_t announced_us = strtoul(timeout + strlen("timeout="), NULL, 10) * TS_US_PER_S;
+    return announced_us > IDLE_TIMEOUT_MARGIN_US ? announced_us - IDLE_TIMEOUT_MARGIN_US : 0;
 }
 
-/* Whether the request was run, as the answer tells it. */
-static ts_run_t read_run(const ts_upstream_t *upstream, const ts_http_message_t *answer)
+/* Whether the request was run, according to the answer. */
+static ts_run_t parse_run(const ts_upstream_t *upstream, const ts_http_message_t *answer)
 {
-    bool says_not = ts_http_message_find(answer, upstream->dialect->headers.not_executed) != NULL;
-    return says_not || answer->parser.status_code == STATUS_MISDIRECTED ? TS_RUN_NOT : TS_RUN_DONE;
+    bool is_not_executed =
+        ts_http_message_find(answer, upstream->dialect->headers.not_executed) != NULL;
+    return is_not_executed || answer->parser.status_code == STATUS_MISDIRECTED ? TS_RUN_NOT
+                                                                               : TS_RUN_DONE;
 }
 
-/* Whether the answer is one to this request: another's may come in its place. */
-static bool is_own_answer(const ts_exchange_t *exchange, const ts_http_message_t *answer)
+/* Whether the answer belongs to the request: a backend may send the answer to another one. */
+static bool has_expected_id(const ts_exchange_t *exchange, const ts_http_message_t *answer)
 {
     const char *wanted = exchange->outgoing->request_id;
     if (wanted == NULL) {
@@ -518,13 +522,13 @@
     const ts_header_names_t *names = &exchange->upstream->dialect->headers;
     const char *id = ts_http_message_find(answer, names->request_id);
     if (id == NULL) {
-        return answer->parser.status_code > STATUS_SUCCESS_LAST; /* some refusals carry no id */
+        return answer->parser.status_code > STATUS_SUCCESS_LAST; /* some refusals have no id */
     }
     return strcmp(id, wanted) == 0;
 }
 
-/* Success must carry the searcher's signature and its own bytes. */
-static bool is_usable(const ts_upstream_t *upstream, const ts_http_message_t *answer)
+/* A successful answer must have the searcher's signature and no content encoding. */
+static bool is_valid_answer(const ts_upstream_t *upstream, const ts_http_message_t *answer)
 {
     unsigned status = answer->parser.status_code;
     if (status < STATUS_SUCCESS_FIRST || status > STATUS_SUCCESS_LAST) {
@@ -534,42 +538,42 @@
            ts_http_message_find(answer, "Content-Encoding") == NULL;
 }
 
-/* Closes what rests beyond this node's share, the longest at rest first. */
-static void close_surplus(const ts_upstream_t *upstream, ts_instance_t *instance,
-                          ts_time_us_t now_us)
+/* Closes idle connections over this node's limit, those idle for longest first. */
+static void close_excess_idle(const ts_upstream_t *upstream, ts_instance_t *instance,
+                              ts_time_us_t now_us)
 {
-    if (upstream->kept == NULL || instance->idle.length == 0)
+    if (upstream->idle_limit == NULL || instance->idle.length == 0)
         return;
-    uint32_t kept = upstream->kept(upstream->kept_ctx, instance, now_us);
-    while (instance->idle.length > kept) {
+    uint32_t limit = upstream->idle_limit(upstream->idle_limit_ctx, instance, now_us);
+    while (instance->idle.length > limit) {
         close_connection(instance->idle.tail->data);
     }
 }
 
-static void rest(ts_connection_t *connection)
+static void make_idle(ts_connection_t *connection)
 {
-    connection->rested_us = ts_clock_now_us();
-    connection->rest_us = read_rest(&connection->answer);
-    if (connection->rest_us == 0 || connection->instance->is_draining) {
+    connection->idle_since_us = ts_clock_now_us();
+    connection->idle_timeout_us = parse_idle_timeout(&connection->answer);
+    if (connection->idle_timeout_us == 0 || connection->instance->is_draining) {
         close_connection(connection);
         return;
     }
     connection->is_idle = true;
-    g_queue_push_head_link(&connection->instance->idle, &connection->place);
-    close_surplus(connection->upstream, connection->instance, connection->rested_us);
+    g_queue_push_head_link(&connection->instance->idle, &connection->idle_link);
+    close_excess_idle(connection->upstream, connection->instance, connection->idle_since_us);
 }
 
-/* One whole answer is in; `has_extra`: further bytes came with it. */
-static void end_answer(ts_connection_t *connection, bool has_extra)
+/* Handles a complete answer. `has_extra`: the stream ended or has further bytes after it. */
+static void finish_answer(ts_connection_t *connection, bool has_extra)
 {
     ts_exchange_t *exchange = connection->exchange;
     const ts_http_message_t *answer = &connection->answer;
-    if (!is_own_answer(exchange, answer) || !is_usable(connection->upstream, answer)) {
+    if (!has_expected_id(exchange, answer) || !is_valid_answer(connection->upstream, answer)) {
         fail_exchange(exchange, TS_E_BAD_ANSWER);
         return;
     }
     ts_exchange_result_t result = {
-        .error = TS_OK, .run = read_run(connection->upstream, answer), .answer = answer};
+        .error = TS_OK, .run = parse_run(connection->upstream, answer), .answer = answer};
     bool is_reusable = answer->keeps_alive && !has_extra &&
                        !uv_is_closing((uv_handle_t *)&connection->socket) &&
                        connection->socket.write_queue_size == 0;
@@ -577,93 +581,96 @@
     exchange->connection = NULL;
     end_exchange(exchange, &result);
     if (is_reusable) {
-        rest(connection);
+        make_idle(connection);
     } else {
         close_connection(connection);
     }
 }
 
-static void read_end(ts_connection_t *connection, ssize_t status)
+static void handle_stream_end(ts_connection_t *connection, ssize_t status)
 {
     ts_exchange_t *exchange = connection->exchange;
     if (exchange == NULL) {
         close_connection(connection);
         return;
     }
-    /* Asked once: the question takes a reset off the socket. */
-    bool is_in_order =
-        status == UV_EOF && ts_stream_ended_in_order((uv_stream_t *)&connection->socket);
-    if (is_in_order) {
+    /* Checked once: the check clears a pending reset of the socket. */
+    bool is_clean_close =
+        status == UV_EOF && ts_stream_closed_cleanly((uv_stream_t *)&connection->socket);
+    if (is_clean_close) {
         ts_http_message_finish(&connection->answer);
         if (connection->answer.is_complete) {
-            end_answer(connection, true);
+            finish_answer(connection, true);
             return;
         }
     } else {
-        note_reset(connection);
+        record_reset(connection);
     }
     fail_exchange(exchange, TS_E_IO);
 }
 
-static void read_bytes(uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
+static void on_read(uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
 {
     ts_connection_t *connection = stream->data;
     if (length == 0 || connection->is_closing) {
         return;
     }
     if (length < 0) {
-        read_end(connection, length);
+        handle_stream_end(connection, length);
         return;
     }
     if (connection->exchange == NULL) {
-        close_connection(connection); /* bytes that belong to no request */
+        close_connection(connection); /* unexpected bytes without a request */
         return;
     }
-    ts_account_bytes(connection->exchange->cause, connection->instance->distance, (size_t)length);
+    ts_byte_account_add(connection->exchange->cause, connection->instance->distance,
+                        (size_t)length);
     ts_http_message_t *answer = &connection->answer;
     size_t used = ts_http_message_feed(answer, buffer->base, (size_t)length);
     if (answer->error != TS_OK) {
         fail_exchange(connection->exchange, TS_E_BAD_ANSWER);
     } else if (answer->is_complete) {
-        end_answer(connection, used < (size_t)length);
+        finish_answer(connection, used < (size_t)length);
     }
 }
 
 static void begin_reading(ts_connection_t *connection)
 {
-    uv_read_start((uv_stream_t *)&connection->socket, allocate, read_bytes);
+    uv_read_start((uv_stream_t *)&connection->socket, provide_read_buffer, on_read);
 }
 
-/* -- Life -------------------------------------------------------------------------------------- */
+/* -- Setup ------------------------------------------------------------------------------------- */
 
 ts_upstream_t *ts_upstream_create(uv_loop_t *loop, const ts_dialect_t *dialect)
 {
     ts_upstream_t *upstream = g_new0(ts_upstream_t, 1);
     upstream->loop = loop;
     upstream->dialect = dialect;
-    uv_timer_init(loop, &upstream->tick);
-    upstream->tick.data = upstream;
+    uv_timer_init(loop, &upstream->timer);
+    upstream->timer.data = upstream;
     return upstream;
 }
 
-void ts_upstream_on_rest(ts_upstream_t *upstream, ts_upstream_kept_t kept, void *ctx)
+void ts_upstream_set_idle_limit_callback(ts_upstream_t *upstream,
+                                         ts_upstream_idle_limit_cb_t callback, void *ctx)
 {
-    upstream->kept = kept;
-    upstream->kept_ctx = ctx;
+    upstream->idle_limit = callback;
+    upstream->idle_limit_ctx = ctx;
 }
 
-void ts_upstream_on_broken(ts_upstream_t *upstream, ts_upstream_broken_t broken, void *ctx)
+void ts_upstream_set_broken_send_callback(ts_upstream_t *upstream,
+                                          ts_upstream_broken_send_cb_t callback, void *ctx)
 {
-    upstream->broken = broken;
-    upstream->broken_ctx = ctx;
+    upstream->broken_send = callback;
+    upstream->broken_send_ctx = ctx;
 }
 
-void ts_upstream_on_late(ts_upstream_t *upstream, ts_wake_t *wake)
+void ts_upstream_set_stall_detector(ts_upstream_t *upstream, ts_wake_t *detector)
 {
-    upstream->wake = wake;
+    upstream->stall_detector = detector;
 }
 
-void ts_upstream_forget_times(ts_upstream_t *upstream)
+void ts_upstream_mark_untimed(ts_upstream_t *upstream)
 {
     for (ts_exchange_t *exchange = upstream->exchanges; exchange != NULL; exchange = exchange->next)
         exchange->is_untimed = true;
@@ -675,10 +682,10 @@
     while (link != NULL) {
         ts_connection_t *connection = link->data;
         link = link->next;
-        bool has_left = !instance->is_listed || instance->is_draining;
-        if (has_left || now_us - connection->rested_us > connection->rest_us) {
+        bool is_leaving = !instance->is_listed || instance->is_draining;
+        if (is_leaving || now_us - connection->idle_since_us > connection->idle_timeout_us) {
             close_connection(connection);
         }
     }
-    close_surplus(upstream, instance, now_us);
+    close_excess_idle(upstream, instance, now_us);
 }
--- a/tests/observe/test_byte_account.c
+++ b/tests/observe/test_byte_account.c
@@ -1,21 +1,21 @@
-/** The account of bytes that go between zones and regions. */
+/** Byte counters by cause and distance. */
 #include "../test_support.h"
 
 #include <string.h>
 
 #include "tealspar/byte_account.h"
 
-/* Each cause and distance has an account of its own, which the metrics show. */
-static void test_bytes_are_kept_apart(void **state)
+/* Each combination of cause and distance has a counter of its own in the metrics. */
+static void test_counters_are_separate(void **state)
 {
     GString *text = g_string_new(NULL);
-    ts_account_bytes(TS_BYTES_FIRST_SEND, TS_DISTANCE_OTHER_REGION, 100);
-    ts_account_bytes(TS_BYTES_FIRST_SEND, TS_DISTANCE_OTHER_REGION, 20);
-    ts_account_bytes(TS_BYTES_SECOND_SEND, TS_DISTANCE_OTHER_REGION, 3);
-    ts_account_bytes(TS_BYTES_FIRST_SEND, TS_DISTANCE_SAME_REGION, 7);
-    assert_int_equal(ts_accounted_bytes(TS_BYTES_FIRST_SEND, TS_DISTANCE_OTHER_REGION), 120);
-    assert_int_equal(ts_accounted_bytes(TS_BYTES_SECOND_SEND, TS_DISTANCE_OTHER_REGION), 3);
-    assert_int_equal(ts_accounted_bytes(TS_BYTES_LOAN, TS_DISTANCE_OTHER_REGION), 0);
+    ts_byte_account_add(TS_BYTES_FIRST_SEND, TS_DISTANCE_OTHER_REGION, 100);
+    ts_byte_account_add(TS_BYTES_FIRST_SEND, TS_DISTANCE_OTHER_REGION, 20);
+    ts_byte_account_add(TS_BYTES_SECOND_SEND, TS_DISTANCE_OTHER_REGION, 3);
+    ts_byte_account_add(TS_BYTES_FIRST_SEND, TS_DISTANCE_SAME_REGION, 7);
+    assert_int_equal(ts_byte_account_get(TS_BYTES_FIRST_SEND, TS_DISTANCE_OTHER_REGION), 120);
+    assert_int_equal(ts_byte_account_get(TS_BYTES_SECOND_SEND, TS_DISTANCE_OTHER_REGION), 3);
+    assert_int_equal(ts_byte_account_get(TS_BYTES_LOAN, TS_DISTANCE_OTHER_REGION), 0);
     ts_byte_account_write(text);
     assert_non_null(
         strstr(text->str, "tealspar_bytes_total{cause=\"first_send\",distance=\"far\"} 120\n"));
@@ -27,7 +27,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_bytes_are_kept_apart),
+        cmocka_unit_test(test_counters_are_separate),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/observe/test_line_writer.c
+++ b/tests/observe/test_line_writer.c
@@ -1,4 +1,4 @@
-/** Lines are bounded and never block, also when nobody reads them. */
+/** The line writer respects its limits and never blocks, even if the reader has stalled. */
 #include "../test_support.h"
 
 #include <fcntl.h>
@@ -26,59 +26,59 @@
     return total;
 }
 
-static void test_stalled_reader_blocks_nothing(void **state)
+static void test_stalled_reader_does_not_block(void **state)
 {
     int ends[2];
     open_pipe(ends);
     ts_line_writer_t *writer = ts_line_writer_create(ends[1], 1000000, 1U << 30);
-    ts_time_us_t begun_us = ts_clock_now_us();
-    unsigned taken = 0;
+    ts_time_us_t started_us = ts_clock_now_us();
+    unsigned accepted = 0;
     for (int i = 0; i < 100000; i++) {
-        taken += ts_line_writer_add(writer, TS_LINE_NEEDED, LINE, strlen(LINE), 1);
+        accepted += ts_line_writer_add(writer, TS_LINE_IMPORTANT, LINE, strlen(LINE), 1);
         ts_line_writer_flush(writer);
     }
-    assert_true(ts_clock_now_us() - begun_us < 2 * TS_US_PER_S);
-    assert_true(taken < 100000); /* the pipe and the buffer hold so many, the rest is dropped */
-    assert_int_equal(ts_line_writer_take_dropped(writer), 100000 - taken);
+    assert_true(ts_clock_now_us() - started_us < 2 * TS_US_PER_S);
+    assert_true(accepted < 100000); /* the rest fits into neither pipe nor buffer */
+    assert_int_equal(ts_line_writer_take_dropped(writer), 100000 - accepted);
     size_t read_bytes = 0;
     for (int i = 0; i < 100; i++) {
         read_bytes += drain(ends[0]);
         ts_line_writer_flush(writer);
     }
-    assert_int_equal(read_bytes, taken * (strlen(LINE) + 1)); /* whole lines, none torn */
+    assert_int_equal(read_bytes, accepted * (strlen(LINE) + 1)); /* only complete lines */
     ts_line_writer_free(writer);
 }
 
-static void test_what_went_wrong_is_kept_first(void **state)
+static void test_important_lines_have_priority(void **state)
 {
     int ends[2];
     open_pipe(ends);
     ts_line_writer_t *writer = ts_line_writer_create(ends[1], 100, 1U << 20);
     unsigned samples = 0;
-    unsigned needed = 0;
+    unsigned important = 0;
     for (int i = 0; i < 100; i++) {
-        samples += ts_line_writer_add(writer, TS_LINE_SAMPLE, LINE, strlen(LINE), TS_US_PER_S);
+        samples += ts_line_writer_add(writer, TS_LINE_SAMPLED, LINE, strlen(LINE), TS_US_PER_S);
     }
     for (int i = 0; i < 50; i++) {
-        needed += ts_line_writer_add(writer, TS_LINE_NEEDED, LINE, strlen(LINE), TS_US_PER_S);
+        important += ts_line_writer_add(writer, TS_LINE_IMPORTANT, LINE, strlen(LINE), TS_US_PER_S);
     }
-    assert_int_equal(samples, 5); /* a few a second */
-    assert_int_equal(needed, 50);
+    assert_int_equal(samples, 5); /* the limit per second */
+    assert_int_equal(important, 50);
     for (int i = 0; i < 45; i++) {
-        needed += ts_line_writer_add(writer, TS_LINE_NEEDED, LINE, strlen(LINE), TS_US_PER_S);
+        important += ts_line_writer_add(writer, TS_LINE_IMPORTANT, LINE, strlen(LINE), TS_US_PER_S);
     }
-    assert_int_equal(needed, 95);
-    assert_false(ts_line_writer_add(writer, TS_LINE_NEEDED, LINE, strlen(LINE), TS_US_PER_S));
+    assert_int_equal(important, 95);
+    assert_false(ts_line_writer_add(writer, TS_LINE_IMPORTANT, LINE, strlen(LINE), TS_US_PER_S));
     assert_true(
-        ts_line_writer_add(writer, TS_LINE_SAMPLE, LINE, strlen(LINE), 2 * TS_US_PER_S + 1));
+        ts_line_writer_add(writer, TS_LINE_SAMPLED, LINE, strlen(LINE), 2 * TS_US_PER_S + 1));
     ts_line_writer_free(writer);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_stalled_reader_blocks_nothing),
-        cmocka_unit_test(test_what_went_wrong_is_kept_first),
+        cmocka_unit_test(test_stalled_reader_does_not_block),
+        cmocka_unit_test(test_important_lines_have_priority),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/platform/test_documents.c
+++ b/tests/platform/test_documents.c
@@ -1,4 +1,4 @@
-/** The platform's documents, read into the product's model. */
+/** Parsers of the platform's documents. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -26,7 +26,7 @@
 #define ROUTE(fields) "{\"name\":\"r\",\"host\":\"H.Example\",\"pathPrefix\":\"/a/\"," fields "}"
 #define DOCUMENT(routes) "{\"version\":7,\"routes\":[" routes "],\"services\":[]}"
 
-static void test_longest_prefix_of_the_host(void **state)
+static void test_longest_prefix_matches(void **state)
 {
     char *reasons = NULL;
     ts_traffic_t *traffic = read_document(
@@ -43,7 +43,7 @@
     g_free(reasons);
 }
 
-static void test_fields_of_a_gather(void **state)
+static void test_fields_of_gather_route(void **state)
 {
     char *reasons = NULL;
     ts_traffic_t *traffic = read_document(
@@ -66,8 +66,8 @@
     g_free(reasons);
 }
 
-/* Where requests may be served, and what back ends bear at their start. */
-static void test_fields_of_places(void **state)
+/* Allowed regions of a route, and warm-up limits of a service's backends. */
+static void test_fields_of_regions_and_warmup(void **state)
 {
     char *reasons = NULL;
     ts_traffic_t *traffic =
@@ -119,21 +119,21 @@
     g_free(reasons);
 }
 
-static void test_load_that_is_told(void **state)
+static void test_reported_load(void **state)
 {
     ts_reported_load_t load = {0};
     assert_int_equal(platform()->read_load("3,1,8", &load), TS_OK);
     assert_int_equal(load.running + 10 * load.waiting + 100 * load.slots, 813);
     assert_int_equal(platform()->read_load(" 4, 0 ,4,250", &load), TS_OK);
     assert_int_equal(load.running, 4);
-    static const char *const wrong[] = {"",       "3,1",  "3,1,8,100,5", "a,b,c",
-                                        "-1,0,4", "3,,8", "1e3,0,4",     "99999999999999999999,0,4",
-                                        "3;1;8",  ",,,"};
-    for (size_t i = 0; i < G_N_ELEMENTS(wrong); i++)
-        assert_int_equal(platform()->read_load(wrong[i], &load), TS_E_SYNTAX);
+    static const char *const malformed[] = {
+        "",       "3,1",  "3,1,8,100,5", "a,b,c",
+        "-1,0,4", "3,,8", "1e3,0,4",     "99999999999999999999,0,4",
+        "3;1;8",  ",,,"};
+    for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++)
+        assert_int_equal(platform()->read_load(malformed[i], &load), TS_E_SYNTAX);
     GRand *random = g_rand_new_with_seed(11);
-    for (int i = 0; i < 20000;
-         i++) { /* whatever comes, it is read within its bounds or not at all */
+    for (int i = 0; i < 20000; i++) { /* random input: accepted only within the bounds */
         char text[24] = {0};
         for (int j = 0; j < 20; j++)
             text[j] = "0123456789,, -.x"[g_rand_int_range(random, 0, 16)];
@@ -143,7 +143,7 @@
     g_rand_free(random);
 }
 
-static void test_what_is_refused_is_named(void **state)
+static void test_reason_of_refusal(void **state)
 {
     static const struct {
         const char *text;
@@ -212,7 +212,7 @@
     "\"slots\":" slots ",\"state\":" state ",\"warmupLeftMs\":" warmup ",\"born\":" born           \
     ",\"callSeq\":4}"
 
-static void test_entry_of_a_searcher(void **state)
+static void test_searcher_entry(void **state)
 {
     const char *text = ENTRY("\"draining\"", "4", "20", "1775471149069");
     ts_instance_record_t record = {0};
@@ -227,8 +227,8 @@
     ts_instance_record_clear(&record);
 }
 
-/* Entries of other writers: they name no back end. */
-static void test_entries_of_other_writers(void **state)
+/* Malformed entries from other writers are refused. */
+static void test_malformed_entries(void **state)
 {
     static const char *const texts[] = {
         "",
@@ -263,24 +263,24 @@
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
         ts_instance_record_t record = {0};
         if (read_entry(texts[i], strlen(texts[i]), &record) == TS_OK)
-            fail_msg("taken: %s", texts[i]);
+            fail_msg("accepted: %s", texts[i]);
         ts_instance_record_clear(&record);
     }
 }
 
-/* Bytes of any kind, and good entries with a few bytes changed. */
-static void test_entries_of_any_bytes(void **state)
+/* Valid entries with a few random bytes, and truncated ones. */
+static void test_corrupted_entries(void **state)
 {
     GRand *random = g_rand_new_with_seed(44);
-    const char *good = ENTRY("\"ready\"", "4", "0", "1775471149069");
-    size_t length = strlen(good);
+    const char *valid = ENTRY("\"ready\"", "4", "0", "1775471149069");
+    size_t length = strlen(valid);
     for (int i = 0; i < 20000; i++) {
-        char *bytes = g_memdup2(good, length + 1);
+        char *bytes = g_memdup2(valid, length + 1);
         for (int j = g_rand_int_range(random, 1, 6); j > 0; j--)
             bytes[g_rand_int_range(random, 0, (gint32)length)] = (char)g_rand_int(random);
         ts_instance_record_t record = {0};
-        size_t cut = (size_t)g_rand_int_range(random, 0, (gint32)length + 1);
-        if (read_entry(bytes, i % 2 == 0 ? length : cut, &record) == TS_OK) {
+        size_t truncated_length = (size_t)g_rand_int_range(random, 0, (gint32)length + 1);
+        if (read_entry(bytes, i % 2 == 0 ? length : truncated_length, &record) == TS_OK) {
             assert_true(record.slots >= 1 && record.slots <= 1000000);
             assert_true(record.service != NULL && record.address != NULL && record.zone != NULL);
         }
@@ -290,7 +290,7 @@
     g_rand_free(random);
 }
 
-static void test_pages_that_are_none(void **state)
+static void test_malformed_pages(void **state)
 {
     static const char *const texts[] = {"",
                                         "{",
@@ -308,17 +308,17 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_longest_prefix_of_the_host),
-        cmocka_unit_test(test_fields_of_a_gather),
-        cmocka_unit_test(test_fields_of_places),
+        cmocka_unit_test(test_longest_prefix_matches),
+        cmocka_unit_test(test_fields_of_gather_route),
+        cmocka_unit_test(test_fields_of_regions_and_warmup),
         cmocka_unit_test(test_fields_of_tenants),
-        cmocka_unit_test(test_load_that_is_told),
-        cmocka_unit_test(test_what_is_refused_is_named),
+        cmocka_unit_test(test_reported_load),
+        cmocka_unit_test(test_reason_of_refusal),
         cmocka_unit_test(test_page_with_changes),
-        cmocka_unit_test(test_entry_of_a_searcher),
-        cmocka_unit_test(test_entries_of_other_writers),
-        cmocka_unit_test(test_entries_of_any_bytes),
-        cmocka_unit_test(test_pages_that_are_none),
+        cmocka_unit_test(test_searcher_entry),
+        cmocka_unit_test(test_malformed_entries),
+        cmocka_unit_test(test_corrupted_entries),
+        cmocka_unit_test(test_malformed_pages),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/proto/test_wire.c
+++ b/tests/proto/test_wire.c
@@ -1,4 +1,4 @@
-/** Frames: what goes in comes out; strangers, other versions and garbage are refused. */
+/** Frames: round trip, and refusal of foreign senders and malformed bytes. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -13,14 +13,14 @@
     size_t count;
 } inbox_t;
 
-static void take(void *context, ts_message_t *message)
+static void store_message(void *context, ts_message_t *message)
 {
     inbox_t *inbox = context;
     assert_true(inbox->count < G_N_ELEMENTS(inbox->messages));
     inbox->messages[inbox->count++] = message;
 }
 
-static void empty(inbox_t *inbox)
+static void clear_inbox(inbox_t *inbox)
 {
     for (size_t i = 0; i < inbox->count; i++) {
         inbox->messages[i]->destroy(inbox->messages[i]);
@@ -83,7 +83,7 @@
     size_t length = 0;
     uint8_t *bytes = pack(&sender, messages, 4, &length);
     inbox_t inbox = {0};
-    assert_int_equal(ts_wire_frame_unpack(&receiver, bytes, length, take, &inbox), TS_OK);
+    assert_int_equal(ts_wire_frame_unpack(&receiver, bytes, length, store_message, &inbox), TS_OK);
     assert_int_equal(inbox.count, 4);
     const ts_subrequests_message_t *subrequests = (void *)inbox.messages[0];
     assert_int_equal(subrequests->parts_count, 2);
@@ -99,14 +99,14 @@
     const ts_gossip_message_t *gossip = (void *)inbox.messages[3];
     assert_string_equal(gossip->peer_name, "alpha");
     assert_memory_equal(gossip->bytes, "abc", 3);
-    empty(&inbox);
+    clear_inbox(&inbox);
     g_free(bytes);
     for (size_t i = 0; i < 4; i++) {
         messages[i]->destroy(messages[i]);
     }
 }
 
-static void test_late_work_is_not_sent(void **state)
+static void test_work_past_its_deadline_is_not_sent(void **state)
 {
     ts_work_t *work = make_work();
     work->deadline_us = 1;
@@ -114,28 +114,28 @@
     size_t length = 0;
     uint8_t *bytes = pack(&sender, &message, 1, &length);
     inbox_t inbox = {0};
-    assert_int_equal(ts_wire_frame_unpack(&receiver, bytes, length, take, &inbox), TS_OK);
+    assert_int_equal(ts_wire_frame_unpack(&receiver, bytes, length, store_message, &inbox), TS_OK);
     assert_int_equal(inbox.count, 0);
     g_free(bytes);
     message->destroy(message);
     ts_work_unref(work);
 }
 
-static void test_strangers_are_refused(void **state)
+static void test_foreign_senders_are_refused(void **state)
 {
     ts_message_t *message = &ts_cancel_message(1, 1)->head;
     ts_wire_identity_t other_cluster = sender;
-    ts_wire_identity_t nameless = sender;
+    ts_wire_identity_t unnamed = sender;
     ts_wire_identity_t impostor = sender;
     other_cluster.cluster = "other";
-    nameless.name = "";
+    unnamed.name = "";
     impostor.name = receiver.name;
-    const ts_wire_identity_t *identities[] = {&other_cluster, &nameless, &impostor};
+    const ts_wire_identity_t *identities[] = {&other_cluster, &unnamed, &impostor};
     inbox_t inbox = {0};
     for (size_t i = 0; i < G_N_ELEMENTS(identities); i++) {
         size_t length = 0;
         uint8_t *bytes = pack(identities[i], &message, 1, &length);
-        assert_int_equal(ts_wire_frame_unpack(&receiver, bytes, length, take, &inbox),
+        assert_int_equal(ts_wire_frame_unpack(&receiver, bytes, length, store_message, &inbox),
                          TS_E_PROTOCOL);
         g_free(bytes);
     }
@@ -143,27 +143,27 @@
     message->destroy(message);
 }
 
-/* Random damage must never crash; what is still a frame may be delivered. */
-static void test_damage_does_no_harm(void **state)
+/* Corrupted frames must not crash the parser; they may be delivered if they are still valid. */
+static void test_corrupted_frames(void **state)
 {
     ts_message_t *messages[] = {make_subrequests(), make_subreply()};
     size_t length = 0;
-    uint8_t *good = pack(&sender, messages, 2, &length);
+    uint8_t *valid = pack(&sender, messages, 2, &length);
     GRand *random = g_rand_new_with_seed(3);
     for (int i = 0; i < 20000; i++) {
-        uint8_t *bytes = g_memdup2(good, length);
+        uint8_t *bytes = g_memdup2(valid, length);
         size_t used = (size_t)g_rand_int_range(random, 0, (gint32)length + 1);
         for (int j = 0; j < 3; j++) {
             bytes[g_rand_int_range(random, 0, (gint32)length)] =
                 (uint8_t)g_rand_int_range(random, 0, 256);
         }
         inbox_t inbox = {0};
-        ts_wire_frame_unpack(&receiver, bytes, used, take, &inbox);
-        empty(&inbox);
+        ts_wire_frame_unpack(&receiver, bytes, used, store_message, &inbox);
+        clear_inbox(&inbox);
         g_free(bytes);
     }
     g_rand_free(random);
-    g_free(good);
+    g_free(valid);
     messages[0]->destroy(messages[0]);
     messages[1]->destroy(messages[1]);
 }
@@ -172,9 +172,9 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_round_trip),
-        cmocka_unit_test(test_late_work_is_not_sent),
-        cmocka_unit_test(test_strangers_are_refused),
-        cmocka_unit_test(test_damage_does_no_harm),
+        cmocka_unit_test(test_work_past_its_deadline_is_not_sent),
+        cmocka_unit_test(test_foreign_senders_are_refused),
+        cmocka_unit_test(test_corrupted_frames),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
