--- a/include/tealspar/line_writer.h
+++ b/include/tealspar/line_writer.h
@@ -1,7 +1,7 @@
 /**
  * Writes lines to a file descriptor without blocking. Lines and bytes per second and the size of
  * the buffer are limited, and the descriptor is written only while it is ready. Lines over a limit
- * are dropped and counted.
+ * are dropped and counted, see ts_line_writer_take_dropped().
  */
 #ifndef TEALSPAR_LINE_WRITER_H
 #define TEALSPAR_LINE_WRITER_H
--- a/include/tealspar/log.h
+++ b/include/tealspar/log.h
@@ -75,7 +75,10 @@
  * JSON line; values must not contain blanks.
  */
 void ts_log(ts_event_t event, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/** Writes queued lines without blocking; call it on each loop iteration. */
+/**
+ * Writes queued lines without blocking, and reports dropped lines at most once per second; call it
+ * on each loop iteration.
+ */
 void ts_log_flush(void);
 /** Writes the remaining lines as far as possible without blocking, at the end of the process. */
 void ts_log_close(void);
