--- a/include/tealspar/dialect.h
+++ b/include/tealspar/dialect.h
@@ -16,24 +16,24 @@
 
 typedef struct ts_header_names {
     const char *request_id;
-    const char *deadline_ms;       /**< remaining time in milliseconds */
-    const char *expected_instance; /**< the only instance that may run the request */
+    const char *deadline_ms;       /**< request: remaining time in milliseconds */
+    const char *expected_instance; /**< request: the only instance that may run it */
     const char *not_executed;      /**< response: the request was not run */
-    const char *signature;         /**< response: the searcher's proof that it ran the request */
-    const char *part_signatures;   /**< gathered response: signatures of the parts it contains */
-    const char *missing_parts;     /**< gathered response: number of parts it does not contain */
-    const char *retry_after;       /**< refusal: seconds until the caller may retry */
-    const char *authorization;     /**< the caller's credentials */
-    const char *tenant;            /**< request to a backend: the tenant, set by this node only */
-    const char *load;              /**< response: load reported by the searcher */
+    const char *signature;         /**< response: the backend's proof that it ran the request */
+    const char *part_signatures;   /**< response merged from several shards: their signatures */
+    const char *missing_parts;     /**< such a response: number of shards that are missing in it */
+    const char *retry_after;       /**< response that refuses a request: seconds until a retry */
+    const char *authorization;     /**< request: the caller's credentials */
+    const char *tenant;            /**< request to a backend: the tenant; a caller's is dropped */
+    const char *load;              /**< response: load reported by the backend */
     const char *store_epoch;       /**< response of the configuration service: its epoch */
 } ts_header_names_t;
 
-/** Type of an entry of the configuration service. */
+/** Type of an entry of the configuration service (the store). */
 typedef enum ts_store_kind {
     TS_STORE_OTHER,     /**< not used by this program */
-    TS_STORE_TRAFFIC,   /**< the configuration */
-    TS_STORE_INSTANCE,  /**< a backend */
+    TS_STORE_TRAFFIC,   /**< the routing configuration (ts_traffic_t) */
+    TS_STORE_INSTANCE,  /**< an instance of a backend, see tealspar/registry.h */
     TS_STORE_EVACUATION /**< while it exists, no requests are sent to the backends of a zone */
 } ts_store_kind_t;
 
@@ -41,7 +41,7 @@
 typedef struct ts_store_entry {
     ts_store_kind_t kind;
     char *key;
-    char *id;                    /**< the backend's id or the zone's name; otherwise NULL */
+    char *id; /**< id of the instance, or name of the evacuated zone; otherwise NULL */
     ts_store_position_t changed; /**< position of its last change */
     bool is_deleted;
     char *value;   /**< the document; NULL if deleted */
@@ -59,7 +59,7 @@
 void ts_store_entry_free(void *data);
 ts_store_page_t *ts_store_page_create(void);
 void ts_store_page_free(ts_store_page_t *page);
-/** Sets the epoch of the page and its entries, which the response body does not contain. */
+/** Sets the epoch of the page and its entries; it comes from a header field, not from the body. */
 void ts_store_page_set_epoch(ts_store_page_t *page, uint64_t epoch);
 /** Adds an empty entry and returns it. */
 ts_store_entry_t *ts_store_page_add(ts_store_page_t *page);
@@ -76,17 +76,22 @@
     /**
      * Parses the header field with the epoch of the configuration service (NULL: absent). The epoch
      * rises each time the service was restored from an older copy, after which it reuses revision
-     * numbers. 0: not reported.
+     * numbers. 0: absent or malformed.
      */
     uint64_t (*read_epoch)(const char *text);
     /** Sets an entry's kind and id according to its key. */
     void (*classify_entry)(ts_store_entry_t *entry);
-    /** Parses the response to any of these requests, except its epoch. Returns TS_OK, TS_E_SYNTAX
-     * or TS_E_INVALID. */
+    /**
+     * Parses the response to a list, watch or probe request. Does not set the epoch, see
+     * ts_store_page_set_epoch(). Returns TS_OK or TS_E_SYNTAX.
+     */
     ts_error_t (*read_page)(const char *text, size_t length, ts_store_page_t *page);
-    /** Parses the entry of an instance; the caller clears the record, also after an error. */
+    /**
+     * Parses the entry of an instance. The caller clears the record, also after an error. Returns
+     * TS_OK or TS_E_SYNTAX.
+     */
     ts_error_t (*read_instance)(const ts_store_entry_t *entry, ts_instance_record_t *record);
-    /** Parses a reported load, except `reported_us`. Returns TS_OK or TS_E_SYNTAX. */
+    /** Parses a load; the caller sets `reported_us`. Returns TS_OK or TS_E_SYNTAX. */
     ts_error_t (*read_load)(const char *text, ts_reported_load_t *load);
     /** Parses a configuration; returns a new reference, or NULL after adding to `problems`. */
     ts_traffic_t *(*read_traffic)(const char *text, size_t length, ts_problems_t *problems);
--- a/include/tealspar/http_message.h
+++ b/include/tealspar/http_message.h
@@ -15,7 +15,7 @@
 
 #include "tealspar/error.h"
 
-/** One header field; offsets of NUL-terminated strings in the message's `text`. */
+/** A header field. Name and value are offsets of NUL-terminated strings in the message's `text`. */
 typedef struct ts_http_field {
     uint32_t name;
     uint32_t value;
@@ -25,7 +25,7 @@
 typedef struct ts_http_message {
     http_parser parser;
     bool is_request;
-    bool is_response_to_head; /**< the response to a HEAD request, which has no body */
+    bool is_response_to_head; /**< has no body; set by the user, kept by ts_http_message_reset() */
     GString *target;          /**< request target as received */
     GString *text;            /**< names and values of the fields */
     GArray *fields;           /**< of ts_http_field_t */
@@ -34,12 +34,12 @@
     size_t head_max;          /**< larger heads fail with TS_E_HEAD_TOO_LARGE */
     size_t body_max;          /**< larger bodies fail with TS_E_TOO_LARGE */
     size_t line_bytes;        /**< bytes of the head's current line */
-    char last_head_byte;
-    bool has_start_line;
-    bool has_bare_line_end; /**< a line of the head ended with LF instead of CRLF */
-    bool is_head_scanned;   /**< the empty line after the head was read */
-    bool has_begun;         /**< at least one byte was read */
-    bool is_head_complete;
+    char last_head_byte;      /**< last byte of the head read so far */
+    bool has_start_line;      /**< a non-empty line was read; empty lines before it are skipped */
+    bool has_bare_line_end;   /**< a line of the head ended with LF; invalid in a request only */
+    bool is_head_scanned;     /**< the scan for bare line ends has reached the empty line */
+    bool has_begun;           /**< at least one byte was read */
+    bool is_head_complete;    /**< http_parser has reported the end of the head */
     bool is_complete;
     bool keeps_alive; /**< valid once complete: the connection may be reused */
     bool is_in_value; /**< the parser's last callback was for a field value */
@@ -75,6 +75,6 @@
  * Whether a field is not forwarded: a hop-by-hop field (RFC 9110, 7.6.1), or Content-Length or
  * Expect, which are handled by this node.
  */
-bool ts_http_message_is_hop_field(const ts_http_message_t *message, const char *name);
+bool ts_http_message_is_unforwarded_field(const ts_http_message_t *message, const char *name);
 
 #endif
--- a/include/tealspar/outgoing.h
+++ b/include/tealspar/outgoing.h
@@ -19,19 +19,19 @@
     uint32_t length;
 } ts_head_span_t;
 
-/** Reference-counted. */
+/** A request to backends; reference-counted. */
 typedef struct ts_outgoing {
     int references;
-    char *request_id;         /**< NULL: the answer's id is not checked */
+    char *request_id;         /**< NULL: the id of the response is not checked */
     GString *head;            /**< request line and fields, without deadline and instance */
     GString *body;            /**< NULL: none */
-    bool is_head_method;      /**< HEAD request: the answer has no body */
-    bool is_repeatable;       /**< safe to repeat, so that any idle connection may be used */
-    ts_time_us_t deadline_us; /**< no answer is awaited after this time */
+    bool is_head_method;      /**< HEAD request: the response has no body */
+    bool is_repeatable;       /**< idempotent, so that it may be sent on any idle connection */
+    ts_time_us_t deadline_us; /**< no response is awaited after this time */
     /* State of its sends, see tealspar/broken_sends.h. */
-    unsigned sends_in_flight; /**< including sends whose answer is no longer awaited */
-    bool has_completed;       /**< a backend has completed it successfully */
-    bool is_isolated;         /**< it is sent by one send at a time, as it may crash backends */
+    unsigned sends_in_flight; /**< including those whose response is no longer awaited */
+    bool has_completed;       /**< a backend has responded successfully */
+    bool is_isolated;         /**< only one send at a time, as the request may crash backends */
     /* Input of the digest, which is computed on first use. */
     ts_head_span_t line;   /**< the request line */
     ts_head_span_t host;   /**< value of the Host field */
--- a/include/tealspar/searcher_client.h
+++ b/include/tealspar/searcher_client.h
@@ -29,7 +29,10 @@
                        uint32_t connections);
     /** Closes a backend; calls in flight end first. */
     void (*close)(ts_searcher_t *searcher);
-    /** Queries one shard. `left_us`: time until the deadline. */
+    /**
+     * Queries one shard. `wanted_snapshot`: index version to be queried; 0: any. `left_us`: time
+     * until the deadline.
+     */
     ts_searcher_call_t *(*search)(ts_searcher_t *searcher, const ts_work_t *work, const char *shard,
                                   uint64_t wanted_snapshot, ts_time_us_t left_us,
                                   ts_searcher_done_t done, void *context);
--- a/src/edge/gateway.c
+++ b/src/edge/gateway.c
@@ -273,7 +273,7 @@
     ts_count(TS_COUNTER_STANDSTILLS, 1);
     ts_log(TS_EVENT_RESUMED, "lost_ms=%lu requests=%u", (unsigned long)(lost_us / TS_US_PER_MS),
            gateway->requests);
-    ts_upstream_mark_untimed(gateway->upstream);
+    ts_upstream_invalidate_times(gateway->upstream);
     if (gateway->callers != NULL)
         ts_listener_each_busy(gateway->callers, recheck_request, NULL);
 }
--- a/src/edge/part_answer.c
+++ b/src/edge/part_answer.c
@@ -14,7 +14,7 @@
     for (guint i = 0; i < answer->fields->len; i++) {
         const ts_http_field_t *field = &g_array_index(answer->fields, ts_http_field_t, i);
         const char *name = ts_http_message_text(answer, field->name);
-        if (!ts_http_message_is_hop_field(answer, name)) {
+        if (!ts_http_message_is_unforwarded_field(answer, name)) {
             g_string_append_printf(fields, "%s: %s\r\n", name,
                                    ts_http_message_text(answer, field->value));
         }
@@ -95,7 +95,7 @@
 static void handle_success(ts_request_part_t *part, const ts_exchange_result_t *result,
                            const ts_instance_t *instance)
 {
-    if (instance->distance != TS_DISTANCE_OTHER_REGION && !result->is_untimed) {
+    if (instance->distance != TS_DISTANCE_OTHER_REGION && !result->has_invalid_times) {
         double extra_us = ts_rtt_estimate_us(instance->rtt) -
                           ts_registry_rtt_min_us(part->request->gateway->registry);
         double span_us = MAX((double)result->span_us - extra_us, 1);
--- a/src/edge/request_part.c
+++ b/src/edge/request_part.c
@@ -340,7 +340,7 @@
     if (policy == TS_LATE_NAIVE) {
         return;
     }
-    bool is_new = !part->was_overdue && !ts_exchange_is_untimed(latest);
+    bool is_new = !part->was_overdue && !ts_exchange_has_invalid_times(latest);
     if (is_new && policy == TS_LATE_ADAPTIVE) {
         part->was_overdue = true;
         ts_route_state_add_overdue(part->request->state);
--- a/src/http/http_message.c
+++ b/src/http/http_message.c
@@ -294,7 +294,7 @@
     return false;
 }
 
-bool ts_http_message_is_hop_field(const ts_http_message_t *message, const char *name)
+bool ts_http_message_is_unforwarded_field(const ts_http_message_t *message, const char *name)
 {
     static const char *const hop_fields[] = {"Connection",
                                              "Keep-Alive",
--- a/src/upstream/outgoing.c
+++ b/src/upstream/outgoing.c
@@ -54,7 +54,7 @@
     for (guint i = 0; i < message->fields->len; i++) {
         const ts_http_field_t *field = &g_array_index(message->fields, ts_http_field_t, i);
         const char *name = ts_http_message_text(message, field->name);
-        if (is_dropped_field(options, name) || ts_http_message_is_hop_field(message, name))
+        if (is_dropped_field(options, name) || ts_http_message_is_unforwarded_field(message, name))
             continue;
         const char *value = ts_http_message_text(message, field->value);
         ts_head_span_t span = append_field(outgoing->head, name, value, field->value_length);
--- a/src/upstream/upstream.c
+++ b/src/upstream/upstream.c
@@ -11,13 +11,16 @@
 #define ANSWER_HEAD_MAX 65536
 #define ANSWER_BODY_MAX (4U * 1024U * 1024U)
 #define CONNECT_TIMEOUT_US (1000 * TS_US_PER_MS)
-/* Unrepeatable requests use no connection idle for longer, as the backend may be closing it. */
-#define UNREPEATABLE_IDLE_MAX_US (500 * TS_US_PER_MS)
+/*
+ * Non-idempotent requests are not sent on a connection that was idle for longer than this: the
+ * backend may be closing it.
+ */
+#define NON_IDEMPOTENT_IDLE_MAX_US (500 * TS_US_PER_MS)
 /* Idle timeout if the backend does not announce one, and safety margin if it does. */
 #define IDLE_TIMEOUT_DEFAULT_US (4 * TS_US_PER_S)
 #define IDLE_TIMEOUT_MARGIN_US (700 * TS_US_PER_MS)
-/* A reset within this time after sending is caused by the connection, not by the request. */
-#define CONNECTION_RESET_MAX_US (60 * TS_US_PER_MS)
+/* A reset within this time after sending is attributed to the connection, not to the request. */
+#define PROMPT_RESET_MAX_US (60 * TS_US_PER_MS)
 #define CHECK_INTERVAL_MS 50
 #define STATUS_MISDIRECTED 421
 #define STATUS_SUCCESS_FIRST 200
@@ -50,12 +53,12 @@
     void *owner;
     ts_time_us_t started_us;
     ts_time_us_t sent_us;
-    ts_time_us_t until_us; /**< once released, it is cancelled at this time */
-    bool has_send_failed;  /**< the request could not be sent completely */
-    double typical_us;     /**< usual response time; 0: not known, or already recorded as late */
-    bool is_untimed;       /**< this process stalled during the exchange */
-    ts_byte_cause_t cause; /**< cause that its bytes are counted under */
-    bool is_isolated;      /**< as in ts_send_terms_t */
+    ts_time_us_t until_us;    /**< once released, it is cancelled at this time */
+    bool has_pending_failure; /**< connecting or sending failed, but is not reported yet */
+    double typical_us;        /**< usual response time; 0: unknown, or already counted as late */
+    bool has_invalid_times;   /**< this process stalled during the exchange */
+    ts_byte_cause_t cause;    /**< traffic category of its bytes, see byte_account.h */
+    bool is_isolated;         /**< only one send of the request at a time */
     ts_exchange_t *previous;
     ts_exchange_t *next;
 };
@@ -106,7 +109,10 @@
     g_free(exchange);
 }
 
-/* Updates the instance's reported load; a malformed report is counted and clears it. */
+/*
+ * Updates the instance's reported load. A malformed report is counted as an error and resets the
+ * load to none reported.
+ */
 static void update_reported_load(const ts_exchange_t *exchange, const ts_http_message_t *answer,
                                  ts_time_us_t now_us)
 {
@@ -127,19 +133,23 @@
 {
     ts_time_us_t now_us = ts_clock_now_us();
     result->span_us = exchange->sent_us == 0 ? 0 : now_us - exchange->sent_us;
+    /* If a stall is found, the times become invalid and do not count against the instance. */
     if (result->span_us > TS_WAKE_LEAST_US && exchange->upstream->stall_detector != NULL)
-        ts_wake_look(exchange->upstream->stall_detector); // may set is_untimed
-    result->is_untimed = exchange->is_untimed;
+        ts_wake_look(exchange->upstream->stall_detector);
+    result->has_invalid_times = exchange->has_invalid_times;
     if (result->answer != NULL)
         update_reported_load(exchange, result->answer, now_us);
     if (result->error == TS_OK && result->run == TS_RUN_DONE) {
         bool is_failure = result->answer->parser.status_code >= STATUS_SERVER_ERROR;
         ts_instance_note_result(exchange->instance, is_failure, now_us);
+        /* A typical time of 0 leaves the latency statistics and the limit unchanged. */
         ts_instance_note_answer(exchange->instance, now_us, (double)result->span_us,
-                                is_failure || exchange->is_untimed ? 0 : exchange->typical_us);
+                                is_failure || exchange->has_invalid_times ? 0
+                                                                          : exchange->typical_us);
     } else if (result->error == TS_OK) {
         ts_instance_note_refusal(exchange->instance, now_us);
     }
+    /* The process at this address is not the expected instance. */
     if (result->error == TS_OK && result->answer->parser.status_code == STATUS_MISDIRECTED)
         ts_instance_note_ended(exchange->instance);
     exchange->outgoing->sends_in_flight--;
@@ -154,16 +164,16 @@
 {
     ts_time_us_t now_us = ts_clock_now_us();
     const ts_exchange_t *exchange = connection->exchange;
-    bool is_prompt = now_us - exchange->sent_us < CONNECTION_RESET_MAX_US;
+    bool is_prompt = now_us - exchange->sent_us < PROMPT_RESET_MAX_US;
     if (exchange->sent_us == 0 || !is_prompt || connection->answer.has_begun)
-        return; /* the request was being processed, or the answer had begun */
+        return; /* the request was being processed, or the response had begun */
     if (connection->idle_since_us == 0)
         ts_instance_note_connection_rejected(connection->instance, now_us);
     else
         ts_instance_note_idle_reset(connection->instance, connection->idle_before_send_us, now_us);
 }
 
-/* Reports a send that failed with its connection. */
+/* Reports a send whose connection failed after the request was sent. */
 static void report_broken_send(const ts_exchange_t *exchange)
 {
     const ts_upstream_t *upstream = exchange->upstream;
@@ -176,8 +186,8 @@
 }
 
 /*
- * Closes the connection and ends its exchange with an error. A request that was sent and not
- * answered counts as a failure of the instance, whatever the reason.
+ * Closes the connection and ends its exchange with an error. A request that was sent and got no
+ * response counts as a failure of the instance, whatever the reason.
  */
 static void fail_exchange(ts_exchange_t *exchange, ts_error_t error)
 {
@@ -209,7 +219,7 @@
             ts_exchange_cancel(exchange);
             return; /* the list may have changed: continue on the next timer call */
         }
-        if (exchange->has_send_failed) {
+        if (exchange->has_pending_failure) {
             uv_timer_start(timer, check_exchanges, 0, CHECK_INTERVAL_MS);
             fail_exchange(exchange, TS_E_CONNECT);
             return;
@@ -241,7 +251,7 @@
     ts_time_us_t now_us = ts_clock_now_us();
     exchange->done = NULL;
     exchange->owner = NULL;
-    if (exchange->sent_us != 0 && !exchange->is_untimed &&
+    if (exchange->sent_us != 0 && !exchange->has_invalid_times &&
         ts_instance_note_unanswered(exchange->instance, now_us,
                                     (double)(now_us - exchange->sent_us), exchange->typical_us))
         exchange->typical_us = 0;
@@ -255,9 +265,9 @@
     return exchange->sent_us;
 }
 
-bool ts_exchange_is_untimed(const ts_exchange_t *exchange)
+bool ts_exchange_has_invalid_times(const ts_exchange_t *exchange)
 {
-    return exchange->is_untimed;
+    return exchange->has_invalid_times;
 }
 
 ts_instance_t *ts_exchange_instance(const ts_exchange_t *exchange)
@@ -302,7 +312,10 @@
     }
 }
 
-/* Builds the request: the shared head, the remaining time, the expected instance and the body. */
+/*
+ * Builds the request: the head and body, which all sends of the request share, the remaining time
+ * and the expected instance.
+ */
 static void build_request(ts_connection_t *connection, ts_time_us_t now_us)
 {
     const ts_outgoing_t *outgoing = connection->exchange->outgoing;
@@ -321,13 +334,13 @@
 }
 
 /*
- * Schedules the failure of an exchange whose request could not be sent completely. It is reported
- * on the next loop iteration, as `done` must not be called before ts_upstream_send() has returned
- * the exchange.
+ * Schedules the failure of an exchange whose connection could not be started, or whose request
+ * could not be sent completely. It is reported on the next loop iteration, as `done` must not be
+ * called before ts_upstream_send() has returned the exchange.
  */
 static void schedule_failure(ts_exchange_t *exchange)
 {
-    exchange->has_send_failed = true;
+    exchange->has_pending_failure = true;
     uv_timer_start(&exchange->upstream->timer, check_exchanges, 0, CHECK_INTERVAL_MS);
 }
 
@@ -422,8 +435,8 @@
             close_connection(connection);
             continue;
         }
-        if (!is_repeatable && idle_us > UNREPEATABLE_IDLE_MAX_US) {
-            return NULL;
+        if (!is_repeatable && idle_us > NON_IDEMPOTENT_IDLE_MAX_US) {
+            return NULL; /* the queue's other connections were idle for even longer */
         }
         remove_from_idle(connection);
         connection->idle_before_send_us = idle_us;
@@ -483,7 +496,7 @@
     return exchange;
 }
 
-/* -- Answers ----------------------------------------------------------------------------------- */
+/* -- Responses --------------------------------------------------------------------------------- */
 
 static void provide_read_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
 {
@@ -503,8 +516,8 @@
     return announced_us > IDLE_TIMEOUT_MARGIN_US ? announced_us - IDLE_TIMEOUT_MARGIN_US : 0;
 }
 
-/* Whether the request was run, according to the answer. */
-static ts_run_t parse_run(const ts_upstream_t *upstream, const ts_http_message_t *answer)
+/* Whether the instance ran the request, according to the response. */
+static ts_run_t get_execution_state(const ts_upstream_t *upstream, const ts_http_message_t *answer)
 {
     bool is_not_executed =
         ts_http_message_find(answer, upstream->dialect->headers.not_executed) != NULL;
@@ -512,11 +525,11 @@
                                                                                : TS_RUN_DONE;
 }
 
-/* Whether the answer belongs to the request: a backend may send the answer to another one. */
+/* Whether the response belongs to this request; a faulty backend may send that of another one. */
 static bool has_expected_id(const ts_exchange_t *exchange, const ts_http_message_t *answer)
 {
-    const char *wanted = exchange->outgoing->request_id;
-    if (wanted == NULL) {
+    const char *expected_id = exchange->outgoing->request_id;
+    if (expected_id == NULL) {
         return true;
     }
     const ts_header_names_t *names = &exchange->upstream->dialect->headers;
@@ -524,10 +537,13 @@
     if (id == NULL) {
         return answer->parser.status_code > STATUS_SUCCESS_LAST; /* some refusals have no id */
     }
-    return strcmp(id, wanted) == 0;
+    return strcmp(id, expected_id) == 0;
 }
 
-/* A successful answer must have the searcher's signature and no content encoding. */
+/*
+ * A successful response must have the searcher's signature and no content encoding, as the body
+ * must be as the searcher produced it.
+ */
 static bool is_valid_answer(const ts_upstream_t *upstream, const ts_http_message_t *answer)
 {
     unsigned status = answer->parser.status_code;
@@ -563,8 +579,8 @@
     close_excess_idle(connection->upstream, connection->instance, connection->idle_since_us);
 }
 
-/* Handles a complete answer. `has_extra`: the stream ended or has further bytes after it. */
-static void finish_answer(ts_connection_t *connection, bool has_extra)
+/* Handles a complete response. `is_stream_unusable`: the stream ended, or has unexpected bytes. */
+static void finish_answer(ts_connection_t *connection, bool is_stream_unusable)
 {
     ts_exchange_t *exchange = connection->exchange;
     const ts_http_message_t *answer = &connection->answer;
@@ -573,8 +589,8 @@
         return;
     }
     ts_exchange_result_t result = {
-        .error = TS_OK, .run = parse_run(connection->upstream, answer), .answer = answer};
-    bool is_reusable = answer->keeps_alive && !has_extra &&
+        .error = TS_OK, .run = get_execution_state(connection->upstream, answer), .answer = answer};
+    bool is_reusable = answer->keeps_alive && !is_stream_unusable &&
                        !uv_is_closing((uv_handle_t *)&connection->socket) &&
                        connection->socket.write_queue_size == 0;
     connection->exchange = NULL;
@@ -670,10 +686,10 @@
     upstream->stall_detector = detector;
 }
 
-void ts_upstream_mark_untimed(ts_upstream_t *upstream)
+void ts_upstream_invalidate_times(ts_upstream_t *upstream)
 {
     for (ts_exchange_t *exchange = upstream->exchanges; exchange != NULL; exchange = exchange->next)
-        exchange->is_untimed = true;
+        exchange->has_invalid_times = true;
 }
 
 void ts_upstream_sweep(ts_upstream_t *upstream, ts_instance_t *instance, ts_time_us_t now_us)
