--- a/tests/observe/test_tenant_counters.c
+++ b/tests/observe/test_tenant_counters.c
@@ -21,8 +21,8 @@
     ts_tenant_counters_write(text);
     assert_non_null(strstr(text->str, "{tenant=\"t0\",outcome=\"over_quota\"} 300\n"));
     char **lines = g_strsplit(text->str, "\n", -1);
-    unsigned named = TS_TENANT_LABELS_MAX + 1;
-    assert_int_equal(g_strv_length(lines), named * TS_TENANT_OUTCOMES + 2 + 1);
+    unsigned label_count = TS_TENANT_LABELS_MAX + 1;
+    assert_int_equal(g_strv_length(lines), label_count * TS_TENANT_OUTCOMES + 2 + 1);
     g_strfreev(lines);
     g_string_free(text, TRUE);
 }
