--- a/src/edge/request_part.c
+++ b/src/edge/request_part.c
@@ -120,7 +120,7 @@
     unsigned index = part->sends++;
     ts_send_terms_t terms = {typical_us + travel_us, index > 0,
                              ts_request_mark_send_isolated(request)};
-    part->was_isolated = terms.is_lone;
+    part->was_isolated = terms.is_isolated;
     part->exchanges[index] =
         ts_upstream_send(request->gateway->upstream, instance, request->outgoing, &terms,
                          ts_part_handle_result, part);
@@ -341,7 +341,7 @@
     if (policy == TS_LATE_NAIVE) {
         return;
     }
-    bool is_new = !part->was_overdue && !ts_exchange_is_untimed(latest);
+    bool is_new = !part->was_overdue && !ts_exchange_has_invalid_times(latest);
     if (is_new && policy == TS_LATE_ADAPTIVE) {
         part->was_overdue = true;
         ts_route_state_add_overdue(part->request->state);
--- a/tests/route/test_evidence.c
+++ b/tests/route/test_evidence.c
@@ -88,7 +88,7 @@
     ts_evidence_add(&single, &both, BEGIN_US);
     assert_true(fabs(latency_ratio(&merged, BEGIN_US) - latency_ratio(&single, BEGIN_US)) < 1e-9);
     assert_true(fabs(failure_rate(&merged, BEGIN_US) - failure_rate(&single, BEGIN_US)) < 1e-9);
-    assert_true(a.has_anomaly);
+    assert_true(a.has_failure_or_slow);
 }
 
 /* Extreme ratios of response time to expected time are capped at 16. */
