--- a/include/tealspar/front.h
+++ b/include/tealspar/front.h
@@ -1,4 +1,4 @@
-/** The front: takes queries, plans, fans out, gathers and answers. */
+/** The front: accepts queries, fans them out to shards and merges the answers. */
 #ifndef TEALSPAR_FRONT_H
 #define TEALSPAR_FRONT_H
 
@@ -9,28 +9,31 @@
 
 typedef struct ts_front ts_front_t;
 
-/** Whether queries would be taken now: TS_OK, TS_E_NOT_READY or TS_E_STOPPING. */
+/** TS_OK if queries are accepted now, else TS_E_NOT_READY or TS_E_STOPPING. */
 ts_error_t ts_front_readiness(const ts_front_t *front);
-/** The declarations in force, or NULL. */
+/** The active declarations, or NULL. */
 ts_declarations_t *ts_front_declarations(const ts_front_t *front);
-/** Frees what a request holds, not the struct. */
+/** Frees the strings of a request, not the struct. */
 void ts_query_request_clear(ts_query_request_t *request);
 /**
- * Starts a query; takes the contents of `request`. `callback` runs exactly once, possibly before
- * this returns, unless the query is abandoned; then the result is NULL.
+ * Starts a query and takes ownership of the strings of `request`. `callback` is called exactly
+ * once, unless the query is abandoned. Returns NULL if it was already called.
  */
 ts_query_t *ts_front_submit(ts_front_t *front, ts_query_request_t *request,
                             ts_answer_callback_t callback, void *context);
-/** The caller is gone: cancels what is out; the callback will not run. */
+/**
+ * Ends the query of a caller that has disconnected. Its subrequests are cancelled, except
+ * unrepeatable ones; its callback is not called.
+ */
 void ts_front_abandon(ts_query_t *query);
 
-/** How callers are spoken to; a plug-in of kind TS_PLUGIN_CALLER_API. */
+/** Protocol for callers; a plug-in of kind TS_PLUGIN_CALLER_API. */
 typedef struct ts_caller_api {
-    /** Listens for callers; returns TS_OK or why not. */
+    /** Starts listening; returns TS_OK or an error. */
     ts_error_t (*open)(uv_loop_t *loop, const ts_settings_t *settings, ts_front_t *front);
-    /** Asks callers to leave after their replies; still serves. */
+    /** Tells callers to close their connections after the next reply; still accepts and serves. */
     void (*leave)(void);
-    /** Stops accepting and asks connected callers to leave after their replies. */
+    /** Stops accepting connections and closes open ones once they are idle. */
     void (*drain)(void);
 } ts_caller_api_t;
 
--- a/lab/planted/planted.c
+++ b/lab/planted/planted.c
@@ -61,7 +61,7 @@
 {
     if (is_planted("drained")) {
         owned->state = TS_OWNED_SERVING;
-        owned->allowed = owned->slots;
+        owned->slots_allowed = owned->slots;
     }
     __real_ts_owned_submit(owned, job);
 }
--- a/src/broker/broker.c
+++ b/src/broker/broker.c
@@ -1,4 +1,4 @@
-/** The broker task: which back ends this node owns, and the subrequests to them. */
+/** The broker task: ownership of backends, and the subrequests to them. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -9,30 +9,31 @@
 #include "tealspar/node.h"
 
 #define TICK_MS 10
-/* A gap between two runs of the broker that means that the process stood still. */
-#define STALL_BOUND_US (1000ULL * TS_US_PER_MS)
-#define DOUBT_US (3ULL * TS_US_PER_S)
-/* With nothing in flight, only health checks are to be begun. */
+/* A longer gap between two runs of the broker is a stall of the process. */
+#define STALL_THRESHOLD_US (1000ULL * TS_US_PER_MS)
+/* Time after a stall during which nothing unrepeatable is dispatched. */
+#define STALL_FENCE_US (3ULL * TS_US_PER_S)
+/* Tick period without jobs, when only health checks can become due. */
 #define IDLE_TICK_MS 100
-#define IDEMPOTENCY_KEEP_US (600ULL * TS_US_PER_S)
-/* An id older than this may have left the table already. */
-#define IDEMPOTENCY_AGE_MS 300000
-/* Bound on the difference between two wall clocks. */
-#define CLOCK_SKEW_MS 2000
+#define IDEMPOTENCY_RETENTION_US (600ULL * TS_US_PER_S)
+/* Older ids are not dispatched: their entries may already have been removed from the table. */
+#define ID_AGE_MAX_MS 300000
+/* Maximum assumed difference between the wall clocks of two machines. */
+#define CLOCK_SKEW_MAX_MS 2000
 /*
- * An owner vouches only for ids issued this long after it became the owner: by then an earlier
- * owner that was cut off has noticed and dispatches nothing unrepeatable any more.
+ * An owner dispatches only ids that were issued at least this long after it became the owner. By
+ * then a previous owner that was partitioned has noticed it and dispatches nothing unrepeatable.
  */
 #define OWNER_FENCE_MS 5000
 /*
- * A stopping owner serves on for this long, so that fronts that have not yet heard of the stop are
- * not turned away; the new owner meanwhile uses half of the slots.
+ * A stopping owner keeps serving for this long, so that fronts that do not know of the stop yet are
+ * not refused. Meanwhile the new owner uses half of the slots.
  */
 #define HANDOVER_MS 1500
 
 static void tick(ts_timer_t *timer);
-static void give_up_all(ts_timer_t *timer);
-static void set_tick(ts_broker_t *broker, uint64_t period_ms);
+static void release_all_backends(ts_timer_t *timer);
+static void set_tick_period(ts_broker_t *broker, uint64_t period_ms);
 
 /* ---- replies ---- */
 
@@ -42,8 +43,9 @@
     g_hash_table_remove(job->broker->jobs, &job->part.counter);
 }
 
-/* Keeps or clears the idempotency entry of a dispatched unrepeatable request. */
-static void settle_idempotency(const ts_job_t *job, const ts_subreply_t *subreply)
+/* Stores the outcome of a dispatched unrepeatable request, or removes its entry if it was not
+   executed. */
+static void update_idempotency(const ts_job_t *job, const ts_subreply_t *subreply)
 {
     if (!job->work->unrepeatable) {
         return;
@@ -64,14 +66,14 @@
         subreply->slots_in_use = job->owned->running->len;
         subreply->queue_length = job->owned->waiting->len;
     }
-    message->subreply = *subreply; /* the hits move */
+    message->subreply = *subreply; /* takes over the hits */
     bool is_local = job->peer == TS_PEER_SELF;
     ts_task_send(is_local ? job->broker->front : job->broker->mesh, &message->head);
 }
 
 void ts_job_reply(ts_job_t *job, ts_subreply_t *subreply)
 {
-    settle_idempotency(job, subreply);
+    update_idempotency(job, subreply);
     send_subreply(job, subreply);
     free_job(job);
 }
@@ -84,8 +86,8 @@
     ts_job_reply(job, &subreply);
 }
 
-/* Answers without touching the idempotency table: the request was not dispatched by this job. */
-static void answer_undispatched(ts_job_t *job, ts_subreply_t *subreply)
+/* Replies without changing the idempotency table, as this job has not dispatched the request. */
+static void reply_undispatched(ts_job_t *job, ts_subreply_t *subreply)
 {
     send_subreply(job, subreply);
     free_job(job);
@@ -96,39 +98,41 @@
     ts_subreply_t subreply = {.error = error, .run = TS_RUN_NOT};
     ts_count(TS_COUNTER_BROKER_REFUSED, 1);
     ts_count_error(error);
-    answer_undispatched(job, &subreply);
+    reply_undispatched(job, &subreply);
 }
 
-static void answer_unknown(ts_job_t *job, ts_error_t error)
+static void reply_unknown(ts_job_t *job, ts_error_t error)
 {
     ts_subreply_t subreply = {.error = error, .run = TS_RUN_MAYBE};
     ts_count_error(error);
-    answer_undispatched(job, &subreply);
+    reply_undispatched(job, &subreply);
 }
 
 /*
- * This owner can't vouch for earlier ones. Whether that leaves a doubt is for the front to say: a
- * request that was never sent before has not run, and its caller may come back when this owner can.
+ * Replies that this owner has not executed the request but an earlier owner may have. The front
+ * decides on the outcome: a request that was never sent before has not been executed, and its
+ * caller may retry when this owner accepts new ids.
  */
-static void answer_unvouched(ts_job_t *job, ts_error_t error, int64_t since_ms)
+static void reply_not_run_here(ts_job_t *job, ts_error_t error, int64_t since_ms)
 {
-    int64_t wait_ms = since_ms + OWNER_FENCE_MS + CLOCK_SKEW_MS - ts_clock_wall_ms();
+    int64_t wait_ms = since_ms + OWNER_FENCE_MS + CLOCK_SKEW_MAX_MS - ts_clock_wall_ms();
     ts_subreply_t subreply = {
         .error = error, .run = TS_RUN_NOT_HERE, .retry_after_ms = (uint32_t)MAX(wait_ms, 0)};
     ts_count_error(error);
-    answer_undispatched(job, &subreply);
+    reply_undispatched(job, &subreply);
 }
 
 /* ---- unrepeatable requests ---- */
 
-/* Since when this owner has been the only one. */
-static int64_t vouching_since_ms(const ts_job_t *job)
+/* Start of this node's uninterrupted ownership of the job's backend, wall clock. */
+static int64_t sole_owner_since_ms(const ts_job_t *job)
 {
-    return MAX(job->owned->owned_since_ms, job->broker->standing_since_ms);
+    return MAX(job->owned->owned_since_ms, job->broker->exclusive_since_ms);
 }
 
-/* Whether this owner can vouch that no earlier owner has dispatched the id. */
-static ts_error_t check_vouching(const ts_job_t *job)
+/* Returns an error unless it is certain that no other owner has dispatched the id, and that an
+   earlier dispatch by this one would still be in the idempotency table. */
+static ts_error_t check_earlier_dispatch(const ts_job_t *job)
 {
     const ts_broker_t *broker = job->broker;
     int64_t now_ms = ts_clock_wall_ms();
@@ -136,13 +140,13 @@
     if (broker->view == NULL || !broker->view->has_quorum || job->owned->is_foreign) {
         return TS_E_NO_QUORUM;
     }
-    if (ts_clock_now_us() < broker->doubt_until_us) {
+    if (ts_clock_now_us() < broker->fence_until_us) {
         return TS_E_NO_QUORUM;
     }
-    if (issued_ms > now_ms + CLOCK_SKEW_MS || issued_ms < now_ms - IDEMPOTENCY_AGE_MS) {
+    if (issued_ms > now_ms + CLOCK_SKEW_MAX_MS || issued_ms < now_ms - ID_AGE_MAX_MS) {
         return TS_E_OWNER_CHANGED;
     }
-    if (issued_ms < vouching_since_ms(job) + OWNER_FENCE_MS + CLOCK_SKEW_MS) {
+    if (issued_ms < sole_owner_since_ms(job) + OWNER_FENCE_MS + CLOCK_SKEW_MAX_MS) {
         return TS_E_OWNER_CHANGED;
     }
     return TS_OK;
@@ -160,10 +164,10 @@
 {
     ts_broker_t *broker = job->broker;
     ts_subreply_t kept = {0};
-    ts_error_t error = check_vouching(job);
+    ts_error_t error = check_earlier_dispatch(job);
     log_dispatch(job, error);
     if (error != TS_OK) {
-        answer_unvouched(job, error, vouching_since_ms(job));
+        reply_not_run_here(job, error, sole_owner_since_ms(job));
         return;
     }
     switch (ts_idempotency_admit(broker->idempotency, job->work, ts_clock_now_us())) {
@@ -173,10 +177,10 @@
     case TS_IDEMPOTENCY_REPLAY:
         ts_count(TS_COUNTER_IDEMPOTENCY_REPLAYED, 1);
         ts_idempotency_replay(broker->idempotency, job->work->request_id, &kept);
-        answer_undispatched(job, &kept);
+        reply_undispatched(job, &kept);
         break;
     case TS_IDEMPOTENCY_UNKNOWN:
-        answer_unknown(job, TS_E_DEADLINE);
+        reply_unknown(job, TS_E_DEADLINE);
         break;
     case TS_IDEMPOTENCY_REUSED:
         refuse_undispatched(job, TS_E_ID_REUSED);
@@ -194,9 +198,9 @@
     job->peer = message->peer;
     job->part = *part;
     job->work = ts_work_ref(message->work);
-    job->taken_us = ts_clock_now_us();
+    job->received_us = ts_clock_now_us();
     g_hash_table_insert(broker->jobs, &job->part.counter, job);
-    set_tick(broker, TICK_MS);
+    set_tick_period(broker, TICK_MS);
     return job;
 }
 
@@ -204,7 +208,7 @@
                         const ts_part_t *part)
 {
     if (g_hash_table_contains(broker->jobs, &part->counter)) {
-        return; /* a doubled message */
+        return; /* duplicate message */
     }
     ts_job_t *job = create_job(broker, message, part);
     job->owned = g_hash_table_lookup(broker->owned, &part->backend);
@@ -226,7 +230,7 @@
 }
 
 /* Only the node that sent a subrequest may cancel it. */
-static void take_cancel(ts_broker_t *broker, const ts_cancel_message_t *message)
+static void handle_cancel(ts_broker_t *broker, const ts_cancel_message_t *message)
 {
     ts_job_t *job = g_hash_table_lookup(broker->jobs, &message->counter);
     if (job != NULL && job->peer == message->peer) {
@@ -236,16 +240,16 @@
 
 /* ---- ownership ---- */
 
-static void retire_owned(ts_owned_t *owned)
+static void release_backend(ts_owned_t *owned)
 {
     ts_broker_t *broker = owned->broker;
-    ts_log(TS_EVENT_OWNERSHIP, "gave up %s", owned->name);
+    ts_log(TS_EVENT_OWNERSHIP, "released %s", owned->name);
     ts_owned_set_state(owned, TS_OWNED_RETIRED);
     ts_owned_refuse_waiting(owned, TS_E_NOT_OWNER);
     g_ptr_array_add(broker->retired, owned);
 }
 
-/* Whether a back end that stays owned was declared anew in a way that needs a fresh start. */
+/* Whether the declaration of an owned backend has changed so that it has to be created again. */
 static bool is_redeclared(const ts_owned_t *owned, const ts_backend_t *backend)
 {
     bool same_shards = g_strv_length(owned->shards) == backend->shards_count;
@@ -257,15 +261,15 @@
            strcmp(owned->address, backend->address) != 0;
 }
 
-static bool is_own(const ts_broker_t *broker, const ts_backend_t *backend)
+static bool is_owned_here(const ts_broker_t *broker, const ts_backend_t *backend)
 {
     const ts_view_member_t *owner = ts_view_owner(broker->view, backend);
     return owner != NULL && owner->is_self;
 }
 
-/* Gives up what is not wanted any more; `since` keeps the start of ownership of what is redeclared.
- */
-static void give_up_lost(ts_broker_t *broker, GHashTable *wanted, GHashTable *since)
+/* Releases backends that are not in `wanted` or are redeclared. `since` gets their start of
+   ownership, which the redeclared ones keep. */
+static void release_lost_backends(ts_broker_t *broker, GHashTable *wanted, GHashTable *since)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -274,14 +278,14 @@
         ts_owned_t *owned = value;
         const ts_backend_t *backend = g_hash_table_lookup(wanted, &owned->id);
         if (backend == NULL || is_redeclared(owned, backend)) {
-            retire_owned(owned);
+            release_backend(owned);
             g_hash_table_insert(since, &owned->id, &owned->owned_since_ms);
             g_hash_table_iter_steal(&iterator);
         }
     }
 }
 
-static void take_gained(ts_broker_t *broker, GHashTable *wanted, GHashTable *since)
+static void add_gained_backends(ts_broker_t *broker, GHashTable *wanted, GHashTable *since)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -303,54 +307,56 @@
 
 static void update_ownership(ts_broker_t *broker)
 {
-    if (broker->view == NULL || broker->declarations == NULL || broker->stopping) {
+    if (broker->view == NULL || broker->declarations == NULL || broker->is_stopping) {
         return;
     }
     GHashTable *wanted = g_hash_table_new(g_int64_hash, g_int64_equal);
     GHashTable *since = g_hash_table_new(g_int64_hash, g_int64_equal);
     for (unsigned i = 0; i < broker->declarations->backends_count; i++) {
         ts_backend_t *backend = &broker->declarations->backends[i];
-        if (is_own(broker, backend)) {
+        if (is_owned_here(broker, backend)) {
             g_hash_table_insert(wanted, &backend->id, backend);
         }
     }
-    give_up_lost(broker, wanted, since);
-    take_gained(broker, wanted, since);
+    release_lost_backends(broker, wanted, since);
+    add_gained_backends(broker, wanted, since);
     g_hash_table_destroy(wanted);
     g_hash_table_destroy(since);
     ts_gauge_set(TS_COUNTER_BROKER_OWNED, g_hash_table_size(broker->owned));
 }
 
-/* ---- the task ---- */
+/* ---- task ---- */
 
-/* Ticks faster while something is in flight, for the deadlines. */
-static void set_tick(ts_broker_t *broker, uint64_t period_ms)
+/* The tick is faster while there are jobs, to enforce their deadlines. */
+static void set_tick_period(ts_broker_t *broker, uint64_t period_ms)
 {
-    if (broker->tick.repeat_ms != period_ms) {
-        ts_timer_start(&broker->tick, period_ms, period_ms);
+    if (broker->tick_timer.repeat_ms != period_ms) {
+        ts_timer_start(&broker->tick_timer, period_ms, period_ms);
     }
 }
 
-/* From now on this node vouches anew: others may have owned the same until here. */
-static void lose_standing(ts_broker_t *broker)
+/* Other nodes may have owned the same backends until now. */
+static void reset_exclusive_since(ts_broker_t *broker)
 {
-    broker->standing_since_ms = ts_clock_wall_ms();
+    broker->exclusive_since_ms = ts_clock_wall_ms();
 }
 
 /*
- * A process that stood still believes old things: its ownership may have passed on, and back ends
- * may have left. Nothing is sent on such beliefs before they are renewed.
+ * After a process stall the state is outdated: other nodes may have taken over the backends, and
+ * backends may have shut down. Nothing is sent to a backend until its health has been checked, and
+ * nothing unrepeatable for STALL_FENCE_US.
  */
-static void notice_stall(ts_broker_t *broker)
+static void detect_stall(ts_broker_t *broker)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    bool has_stalled = broker->awake_us != 0 && now_us - broker->awake_us > STALL_BOUND_US;
-    broker->awake_us = now_us;
+    bool has_stalled =
+        broker->last_run_us != 0 && now_us - broker->last_run_us > STALL_THRESHOLD_US;
+    broker->last_run_us = now_us;
     if (!has_stalled) {
         return;
     }
-    lose_standing(broker);
-    broker->doubt_until_us = now_us + DOUBT_US;
+    reset_exclusive_since(broker);
+    broker->fence_until_us = now_us + STALL_FENCE_US;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, broker->owned);
@@ -359,35 +365,35 @@
     }
 }
 
-static void take_view(ts_broker_t *broker, ts_view_t *view)
+static void set_view(ts_broker_t *broker, ts_view_t *view)
 {
     bool had_quorum = broker->view != NULL && broker->view->has_quorum;
-    if (view->ownership_epoch != broker->standing || (view->has_quorum && !had_quorum)) {
-        lose_standing(broker);
+    if (view->ownership_epoch != broker->ownership_epoch || (view->has_quorum && !had_quorum)) {
+        reset_exclusive_since(broker);
     }
-    broker->standing = view->ownership_epoch;
+    broker->ownership_epoch = view->ownership_epoch;
     ts_view_unref(broker->view);
     broker->view = ts_view_ref(view);
     update_ownership(broker);
 }
 
-static bool has_nothing_left(const ts_broker_t *broker)
+static bool is_drained(const ts_broker_t *broker)
 {
-    return broker->gave_up && g_hash_table_size(broker->jobs) == 0;
+    return broker->has_released_all && g_hash_table_size(broker->jobs) == 0;
 }
 
-static void tell_idle(ts_broker_t *broker)
+static void report_idle(ts_broker_t *broker)
 {
-    if (broker->has_told_idle || !has_nothing_left(broker))
+    if (broker->has_reported_idle || !is_drained(broker))
         return;
-    broker->has_told_idle = true;
+    broker->has_reported_idle = true;
     ts_task_send(broker->membership, ts_broker_idle_message());
 }
 
 static void tick(ts_timer_t *timer)
 {
     ts_broker_t *broker = timer->data;
-    notice_stall(broker);
+    detect_stall(broker);
     ts_time_us_t now_us = ts_clock_now_us();
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -398,19 +404,19 @@
     for (guint i = broker->retired->len; i > 0; i--) {
         ts_owned_t *owned = g_ptr_array_index(broker->retired, i - 1);
         ts_owned_tick(owned, now_us);
-        if (owned->running->len == 0 && !owned->health_pending) {
+        if (owned->running->len == 0 && !owned->is_health_pending) {
             g_ptr_array_remove_index_fast(broker->retired, i - 1);
             ts_owned_free(owned);
         }
     }
-    tell_idle(broker);
-    bool is_busy = broker->stopping || g_hash_table_size(broker->jobs) > 0;
-    set_tick(broker, is_busy ? TICK_MS : IDLE_TICK_MS);
+    report_idle(broker);
+    bool is_busy = broker->is_stopping || g_hash_table_size(broker->jobs) > 0;
+    set_tick_period(broker, is_busy ? TICK_MS : IDLE_TICK_MS);
     ts_idempotency_expire(broker->idempotency, now_us);
     ts_gauge_set(TS_COUNTER_IDEMPOTENCY_ENTRIES, (int64_t)ts_idempotency_size(broker->idempotency));
 }
 
-static void take_subrequests(ts_broker_t *broker, const ts_subrequests_message_t *message)
+static void handle_subrequests(ts_broker_t *broker, const ts_subrequests_message_t *message)
 {
     for (size_t i = 0; i < message->parts_count; i++) {
         submit_part(broker, message, &message->parts[i]);
@@ -420,13 +426,13 @@
 static void handle_message(void *state, ts_message_t *message)
 {
     ts_broker_t *broker = state;
-    notice_stall(broker);
+    detect_stall(broker);
     switch (message->type) {
     case TS_MESSAGE_SUBREQUESTS:
-        take_subrequests(broker, (const ts_subrequests_message_t *)message);
+        handle_subrequests(broker, (const ts_subrequests_message_t *)message);
         break;
     case TS_MESSAGE_CANCEL:
-        take_cancel(broker, (const ts_cancel_message_t *)message);
+        handle_cancel(broker, (const ts_cancel_message_t *)message);
         break;
     case TS_MESSAGE_DECLARATIONS:
         ts_declarations_unref(broker->declarations);
@@ -435,7 +441,7 @@
         update_ownership(broker);
         break;
     case TS_MESSAGE_VIEW:
-        take_view(broker, ((ts_view_message_t *)message)->view);
+        set_view(broker, ((ts_view_message_t *)message)->view);
         break;
     default:
         break;
@@ -451,7 +457,7 @@
     broker->owned = g_hash_table_new(g_int64_hash, g_int64_equal);
     broker->retired = g_ptr_array_new();
     broker->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    broker->idempotency = ts_idempotency_create(IDEMPOTENCY_KEEP_US);
+    broker->idempotency = ts_idempotency_create(IDEMPOTENCY_RETENTION_US);
     broker->task = ts_task_create(node->tasks, "broker", handle_message, broker);
     return TS_OK;
 }
@@ -462,36 +468,36 @@
     broker->front = ts_task_find(node->tasks, "front");
     broker->mesh = ts_task_find(node->tasks, "mesh");
     broker->membership = ts_task_find(node->tasks, "membership");
-    ts_timer_init(&broker->tick, node->runtime, tick, broker);
-    ts_timer_init(&broker->handover, node->runtime, give_up_all, broker);
-    ts_timer_start(&broker->tick, IDLE_TICK_MS, IDLE_TICK_MS);
+    ts_timer_init(&broker->tick_timer, node->runtime, tick, broker);
+    ts_timer_init(&broker->handover_timer, node->runtime, release_all_backends, broker);
+    ts_timer_start(&broker->tick_timer, IDLE_TICK_MS, IDLE_TICK_MS);
     return TS_OK;
 }
 
-static void give_up_all(ts_timer_t *timer)
+static void release_all_backends(ts_timer_t *timer)
 {
     ts_broker_t *broker = timer->data;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, broker->owned);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        retire_owned(value);
+        release_backend(value);
         g_hash_table_iter_steal(&iterator);
     }
-    broker->gave_up = true;
+    broker->has_released_all = true;
 }
 
 static void stop_broker(ts_node_t *node)
 {
     ts_broker_t *broker = ts_node_state(node, "broker");
-    broker->stopping = true;
-    ts_timer_start(&broker->handover, HANDOVER_MS, 0);
+    broker->is_stopping = true;
+    ts_timer_start(&broker->handover_timer, HANDOVER_MS, 0);
 }
 
 static bool is_broker_idle(ts_node_t *node)
 {
     const ts_broker_t *broker = ts_node_state(node, "broker");
-    return broker->has_told_idle && has_nothing_left(broker);
+    return broker->has_reported_idle && is_drained(broker);
 }
 
 static void describe_broker(ts_node_t *node, json_t *status)
@@ -503,18 +509,18 @@
     g_hash_table_iter_init(&iterator, broker->owned);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const ts_owned_t *owned = value;
-        json_array_append_new(rows,
-                              json_pack("{s:s, s:s, s:i, s:i, s:i, s:i, s:f}", "name", owned->name,
-                                        "state", ts_owned_state_name(owned->state), "slots",
-                                        (int)owned->slots, "slots_allowed", (int)owned->allowed,
-                                        "slots_in_use", (int)owned->running->len, "queued",
-                                        (int)owned->waiting->len, "service_us", owned->service_us));
+        json_array_append_new(
+            rows, json_pack("{s:s, s:s, s:i, s:i, s:i, s:i, s:f}", "name", owned->name, "state",
+                            ts_owned_state_name(owned->state), "slots", (int)owned->slots,
+                            "slots_allowed", (int)owned->slots_allowed, "slots_in_use",
+                            (int)owned->running->len, "queued", (int)owned->waiting->len,
+                            "service_us", owned->service_us));
     }
     json_object_set_new(status, "owned", rows);
 }
 
-/* Frees a job without an answer. */
-static void drop_job(ts_job_t *job)
+/* Cancels a job's call and releases its work, without a reply. */
+static void discard_job(ts_job_t *job)
 {
     if (job->call != NULL) {
         job->broker->client->cancel(job->call);
@@ -529,7 +535,7 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, broker->jobs);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        drop_job(value);
+        discard_job(value);
     }
     g_hash_table_destroy(broker->jobs);
     g_hash_table_iter_init(&iterator, broker->owned);
@@ -550,4 +556,4 @@
 static const ts_task_ops_t broker_ops = {open_broker,    start_broker,    stop_broker,
                                          is_broker_idle, describe_broker, close_broker};
 TS_REGISTER_PLUGIN(broker_plugin, TS_PLUGIN_TASK, "broker", 1, &broker_ops,
-                   "owns back ends: their connections, slots and queues")
+                   "owns backends: their connections, slots and queues")
--- a/src/broker/broker_internal.h
+++ b/src/broker/broker_internal.h
@@ -1,4 +1,4 @@
-/** What the modules of the broker share among themselves. */
+/** Shared by the modules of the broker. */
 #ifndef TEALSPAR_BROKER_INTERNAL_H
 #define TEALSPAR_BROKER_INTERNAL_H
 
@@ -12,26 +12,26 @@
 /** One subrequest at the broker. */
 typedef struct ts_job {
     ts_broker_t *broker;
-    ts_owned_t *owned;
-    uint64_t peer; /**< whom to answer */
+    ts_owned_t *owned; /**< NULL: the backend is not owned here */
+    uint64_t peer;     /**< node that sent it and gets the reply */
     ts_part_t part;
     ts_work_t *work;
     ts_searcher_call_t *call; /**< set while running */
-    ts_time_us_t taken_us;
+    ts_time_us_t received_us;
     ts_time_us_t started_us;
 } ts_job_t;
 
-/** What the owner knows of a back end. */
+/** State of a backend as known to its owner. */
 typedef enum ts_owned_state {
-    TS_OWNED_CHECKING, /**< just taken over: work waits until its health is known */
+    TS_OWNED_CHECKING, /**< just taken over, or after a stall: jobs wait for the health check */
     TS_OWNED_SERVING,
     TS_OWNED_STARTING,    /**< not ready yet */
-    TS_OWNED_DRAINING,    /**< leaving: no new work */
-    TS_OWNED_UNREACHABLE, /**< no connection; probed until it answers */
-    TS_OWNED_RETIRED      /**< not owned any more; finishing what is in flight */
+    TS_OWNED_DRAINING,    /**< shutting down: gets no new requests */
+    TS_OWNED_UNREACHABLE, /**< connection or health check failed; rechecked */
+    TS_OWNED_RETIRED      /**< no longer owned; its running jobs finish */
 } ts_owned_state_t;
 
-/** One back end that this node owns: its connections, its slots and its queue. */
+/** A backend that this node owns: its connections, slots and queue. */
 struct ts_owned {
     ts_broker_t *broker;
     uint64_t id;
@@ -42,16 +42,18 @@
     char **shards; /**< names; NULL-terminated */
     ts_searcher_t *searcher;
     ts_owned_state_t state;
-    uint32_t allowed;   /**< slots that may be used now; grows to `slots` with each success */
-    GPtrArray *running; /**< of ts_job_t */
-    GPtrArray *waiting; /**< of ts_job_t */
-    double service_us;
-    int64_t owned_since_ms;     /**< wall clock */
-    bool is_foreign;            /**< its zone has no nodes: others may own it as well, unseen */
-    ts_time_us_t drain_told_us; /**< when a reply said that it drains; 0: never */
-    bool is_health_stale;       /**< the pending check was asked before a stall */
+    uint32_t slots_allowed; /**< usable now; one more with each success, up to `slots` */
+    GPtrArray *running;     /**< of ts_job_t */
+    GPtrArray *waiting;     /**< of ts_job_t */
+    double service_us;      /**< moving average; 0: unknown */
+    int64_t owned_since_ms; /**< wall clock */
+    /** Of another zone, whose nodes are missing in the view. They may only be partitioned, and own
+     * the backend as well. */
+    bool is_foreign;
+    ts_time_us_t drain_reported_us; /**< when a reply reported that it is draining; 0: never */
+    bool is_health_stale;           /**< the pending check was sent before a stall */
     ts_time_us_t health_due_us;
-    bool health_pending;
+    bool is_health_pending;
 };
 
 struct ts_broker {
@@ -63,44 +65,48 @@
     ts_task_t *membership;
     ts_declarations_t *declarations;
     ts_view_t *view;
-    GHashTable *owned;  /**< &id -> ts_owned_t, owned */
-    GPtrArray *retired; /**< of ts_owned_t, finishing */
+    GHashTable *owned;  /**< &id -> ts_owned_t */
+    GPtrArray *retired; /**< of ts_owned_t, waiting for their running jobs */
     GHashTable *jobs;   /**< &counter -> ts_job_t, owned */
     ts_idempotency_t *idempotency;
-    ts_timer_t tick;
-    ts_timer_t handover;         /**< gives everything up some time after a stop began */
-    ts_time_us_t awake_us;       /**< when the broker last ran */
-    ts_time_us_t doubt_until_us; /**< after a stall nothing unrepeatable is sent until then */
-    int64_t standing_since_ms;   /**< wall clock; others may have owned the same before */
-    uint64_t standing;           /**< of the view */
-    bool stopping;
-    bool gave_up;
-    bool has_told_idle;
+    ts_timer_t tick_timer;
+    ts_timer_t handover_timer;   /**< releases all backends HANDOVER_MS after the stop */
+    ts_time_us_t last_run_us;    /**< when the broker last ran, to detect stalls */
+    ts_time_us_t fence_until_us; /**< after a stall; no unrepeatable dispatch before */
+    /** Wall clock; other nodes may have owned the same backends before. */
+    int64_t exclusive_since_ms;
+    uint64_t ownership_epoch; /**< of the latest view */
+    bool is_stopping;
+    bool has_released_all;
+    bool has_reported_idle;
 };
 
-/** Begins to own a back end. */
+/** Creates an owned backend and checks its health. */
 ts_owned_t *ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend);
-/** Frees a back end that has nothing in flight. */
+/** Closes and frees a backend without running jobs. */
 void ts_owned_free(ts_owned_t *owned);
-/** Changes the state; the one place where it changes. */
+/** The only place that changes the state. Does nothing once retired. */
 void ts_owned_set_state(ts_owned_t *owned, ts_owned_state_t state);
-/** Asks for the health anew before any more work is sent; after a stall of the process. */
+/** After a process stall: starts no job until the health has been checked again. */
 void ts_owned_recheck(ts_owned_t *owned);
-/** Takes a job: runs it, queues it, or refuses it. */
+/** Runs, queues or refuses a job. */
 void ts_owned_submit(ts_owned_t *owned, ts_job_t *job);
-/** Cancels a job, running or waiting, without a reply; its slot is free at once. */
+/**
+ * Cancels a running or waiting job without a reply and frees its slot at once. A running
+ * unrepeatable job is not cancelled: its outcome is kept for a repeat.
+ */
 void ts_owned_cancel(ts_job_t *job);
-/** Refuses every waiting job with an error; they were not run. */
+/** Refuses every waiting job with `error`. */
 void ts_owned_refuse_waiting(ts_owned_t *owned, ts_error_t error);
-/** Ends jobs whose deadline has passed and asks for the health when due. */
+/** Ends jobs whose deadline has passed, starts waiting jobs, and checks the health when due. */
 void ts_owned_tick(ts_owned_t *owned, ts_time_us_t now_us);
-/** Whether it has the shard by the declarations. */
+/** Name of the shard if the backend serves it by its declaration, else NULL. */
 const char *ts_owned_find_shard(const ts_owned_t *owned, uint64_t shard);
 const char *ts_owned_state_name(ts_owned_state_t state);
 
-/** Answers a job and frees it. */
+/** Replies to a job and frees it. */
 void ts_job_reply(ts_job_t *job, ts_subreply_t *subreply);
-/** Answers a job that was not run and frees it. */
+/** Replies that a job was not executed, and frees it. */
 void ts_job_refuse(ts_job_t *job, ts_error_t error);
 
 #endif
--- a/src/broker/idempotency.c
+++ b/src/broker/idempotency.c
@@ -6,7 +6,7 @@
 #include "tealspar/hash.h"
 
 typedef struct entry {
-    uint64_t digest; /* of what is asked, to tell a repeat from a reuse of the id */
+    uint64_t digest; /* of the contents, to tell a repeat from a reuse of the id */
     bool is_finished;
     ts_subreply_t outcome;
     ts_time_us_t changed_us;
@@ -14,7 +14,7 @@
 
 struct ts_idempotency {
     GHashTable *entries; /* request id -> entry_t, both owned */
-    ts_time_us_t keep_us;
+    ts_time_us_t retention_us;
 };
 
 static void free_entry(gpointer pointer)
@@ -24,11 +24,11 @@
     g_free(entry);
 }
 
-ts_idempotency_t *ts_idempotency_create(ts_time_us_t keep_us)
+ts_idempotency_t *ts_idempotency_create(ts_time_us_t retention_us)
 {
     ts_idempotency_t *table = g_new0(ts_idempotency_t, 1);
     table->entries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_entry);
-    table->keep_us = keep_us;
+    table->retention_us = retention_us;
     return table;
 }
 
@@ -106,7 +106,7 @@
     g_hash_table_iter_init(&iterator, table->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const entry_t *entry = value;
-        if (now_us - entry->changed_us > table->keep_us) {
+        if (now_us - entry->changed_us > table->retention_us) {
             g_hash_table_iter_remove(&iterator);
         }
     }
--- a/src/broker/owned.c
+++ b/src/broker/owned.c
@@ -1,4 +1,4 @@
-/** One owned back end: its slots, its queue, its health. */
+/** One owned backend: its slots, queue and health. */
 #include <string.h>
 
 #include "broker_internal.h"
@@ -7,13 +7,15 @@
 #include "tealspar/hash.h"
 #include "tealspar/log.h"
 
-#define QUEUE_PER_SLOT 8U
-#define SERVICE_WEIGHT 0.1
-#define HEALTH_PERIOD_US (1000ULL * TS_US_PER_MS)
-#define DRAIN_TOLD_US (3ULL * TS_US_PER_S)
-#define HEALTH_RETRY_US (200ULL * TS_US_PER_MS)
-/* Half of the connections: should an old owner still hold its own, the limit is kept. */
-#define CONNECTION_SHARE 2U
+#define QUEUE_LENGTH_PER_SLOT 8U
+#define SERVICE_EWMA_ALPHA 0.1
+#define HEALTH_INTERVAL_US (1000ULL * TS_US_PER_MS)
+/* How long a drain reported in a reply takes precedence over the health check. */
+#define DRAIN_REPORT_TTL_US (3ULL * TS_US_PER_S)
+#define HEALTH_RETRY_INTERVAL_US (200ULL * TS_US_PER_MS)
+/* An owner opens half of the declared connections, so that the limit is kept while a previous owner
+   still holds its own. */
+#define CONNECTION_DIVISOR 2U
 
 static void check_health(ts_owned_t *owned);
 
@@ -42,7 +44,7 @@
     owned->owned_since_ms = ts_clock_wall_ms();
     owned->is_foreign = strcmp(backend->zone, broker->node->settings->zone) != 0;
     broker->client->open(&owned->searcher, broker->node, backend->address,
-                         backend->connections / CONNECTION_SHARE);
+                         backend->connections / CONNECTION_DIVISOR);
     check_health(owned);
     return owned;
 }
@@ -65,14 +67,14 @@
     }
     ts_log(TS_EVENT_BACKEND_STATE, "%s: %s to %s", owned->name, ts_owned_state_name(owned->state),
            ts_owned_state_name(state));
-    /* Begin with half of the slots, as an earlier owner may still have work there; after a failure
-       begin with one. */
+    /* Start with half of the slots, as a previous owner may still have requests running there;
+       after a failure start with one. */
     bool is_first = owned->state == TS_OWNED_CHECKING && state == TS_OWNED_SERVING;
     owned->state = state;
     if (is_first) {
-        owned->allowed = MAX(1U, owned->slots / 2);
+        owned->slots_allowed = MAX(1U, owned->slots / 2);
     } else if (state != TS_OWNED_SERVING) {
-        owned->allowed = 1;
+        owned->slots_allowed = 1;
     }
     if (state == TS_OWNED_DRAINING) {
         ts_owned_refuse_waiting(owned, TS_E_DRAINING);
@@ -108,27 +110,28 @@
 
 static void run_next(ts_owned_t *owned);
 
-static void learn_service(ts_owned_t *owned, const ts_subreply_t *subreply)
+static void update_service_time(ts_owned_t *owned, const ts_subreply_t *subreply)
 {
     double service = subreply->service_us;
-    owned->service_us = owned->service_us <= 0
-                            ? service
-                            : owned->service_us + SERVICE_WEIGHT * (service - owned->service_us);
+    owned->service_us =
+        owned->service_us <= 0
+            ? service
+            : owned->service_us + SERVICE_EWMA_ALPHA * (service - owned->service_us);
     ts_observe_us(TS_HISTOGRAM_SERVICE_TIME, subreply->service_us);
-    owned->allowed = MIN(owned->allowed + 1, owned->slots);
+    owned->slots_allowed = MIN(owned->slots_allowed + 1, owned->slots);
 }
 
-static void learn_outcome(ts_owned_t *owned, const ts_subreply_t *subreply)
+static void apply_outcome(ts_owned_t *owned, const ts_subreply_t *subreply)
 {
     switch (subreply->error) {
     case TS_OK:
-        learn_service(owned, subreply);
+        update_service_time(owned, subreply);
         if (owned->state != TS_OWNED_CHECKING && owned->state != TS_OWNED_DRAINING) {
             ts_owned_set_state(owned, TS_OWNED_SERVING);
         }
         break;
     case TS_E_DRAINING:
-        owned->drain_told_us = ts_clock_now_us();
+        owned->drain_reported_us = ts_clock_now_us();
         ts_owned_set_state(owned, TS_OWNED_DRAINING);
         break;
     case TS_E_CONNECT:
@@ -136,23 +139,23 @@
         owned->health_due_us = 0;
         break;
     case TS_E_SHEDDING:
-        owned->allowed = MAX(1U, owned->allowed / 2);
+        owned->slots_allowed = MAX(1U, owned->slots_allowed / 2);
         break;
     default:
         break;
     }
 }
 
-static void take_result(void *context, ts_subreply_t *subreply)
+static void handle_result(void *context, ts_subreply_t *subreply)
 {
     ts_job_t *job = context;
     ts_owned_t *owned = job->owned;
     g_ptr_array_remove_fast(owned->running, job);
     ts_count(TS_COUNTER_BROKER_SLOTS_IN_USE, -1);
     ts_count(TS_COUNTER_SEARCHER_ERRORS, subreply->error != TS_OK);
-    learn_outcome(owned, subreply);
+    apply_outcome(owned, subreply);
     job->call = NULL;
-    subreply->queue_us = (uint32_t)(job->started_us - job->taken_us);
+    subreply->queue_us = (uint32_t)(job->started_us - job->received_us);
     ts_job_reply(job, subreply);
     run_next(owned);
 }
@@ -163,21 +166,21 @@
     g_ptr_array_add(owned->running, job);
     ts_count(TS_COUNTER_BROKER_SLOTS_IN_USE, 1);
     ts_count(TS_COUNTER_SEARCHER_REQUESTS, 1);
-    ts_observe_us(TS_HISTOGRAM_QUEUE_TIME, job->started_us - job->taken_us);
+    ts_observe_us(TS_HISTOGRAM_QUEUE_TIME, job->started_us - job->received_us);
     job->call = owned->broker->client->search(
         owned->searcher, job->work, ts_owned_find_shard(owned, job->part.shard),
-        job->part.wanted_snapshot, time_left(job, job->started_us), take_result, job);
+        job->part.wanted_snapshot, time_left(job, job->started_us), handle_result, job);
 }
 
-/* The waiting job of the highest rank that may have a slot, or NULL. */
+/* The highest-ranked waiting job that may use a slot now, or NULL. */
 static ts_job_t *choose_waiting(const ts_owned_t *owned, ts_time_us_t now_us)
 {
     ts_job_t *best = NULL;
     double best_rank = -1;
     for (guint i = 0; i < owned->waiting->len; i++) {
         ts_job_t *job = g_ptr_array_index(owned->waiting, i);
-        double rank = ts_admission_rank(job->work->priority, now_us - job->taken_us);
-        if (rank > best_rank && ts_admission_has_slot(owned->allowed, owned->running->len,
+        double rank = ts_admission_rank(job->work->priority, now_us - job->received_us);
+        if (rank > best_rank && ts_admission_has_slot(owned->slots_allowed, owned->running->len,
                                                       count_kind(owned, job->work->kind),
                                                       job->work->slot_share_percent)) {
             best = job;
@@ -207,9 +210,9 @@
     }
 }
 
-/* ---- taking ---- */
+/* ---- admission ---- */
 
-static ts_error_t refusal_of_state(ts_owned_state_t state)
+static ts_error_t state_error(ts_owned_state_t state)
 {
     switch (state) {
     case TS_OWNED_CHECKING:
@@ -234,21 +237,21 @@
         ahead += other->work->priority >= job->work->priority;
     }
     ts_admission_input_t input = {
-        .slots = owned->allowed,
+        .slots = owned->slots_allowed,
         .slots_in_use = owned->running->len,
         .kind_in_use = count_kind(owned, job->work->kind),
         .kind_share_percent = job->work->slot_share_percent,
         .queue_ahead = ahead,
         .queue_length = owned->waiting->len,
-        .queue_max = owned->slots * QUEUE_PER_SLOT,
+        .queue_max = owned->slots * QUEUE_LENGTH_PER_SLOT,
         .service_us = owned->service_us,
-        .left_us = time_left(job, job->taken_us),
+        .left_us = time_left(job, job->received_us),
     };
     return input;
 }
 
-/* Makes room in a full queue by refusing the lowest-ranked job below this one's priority. */
-static bool displace_lower(ts_owned_t *owned, const ts_job_t *job)
+/* Makes room in a full queue by refusing the job of the lowest priority, if below this one's. */
+static bool displace_lower_priority(ts_owned_t *owned, const ts_job_t *job)
 {
     ts_job_t *lowest = NULL;
     for (guint i = 0; i < owned->waiting->len; i++) {
@@ -268,14 +271,14 @@
 
 void ts_owned_submit(ts_owned_t *owned, ts_job_t *job)
 {
-    ts_error_t error = refusal_of_state(owned->state);
+    ts_error_t error = state_error(owned->state);
     if (error != TS_OK) {
         ts_job_refuse(job, error);
         return;
     }
     ts_admission_input_t input = describe_load(owned, job);
     ts_admission_t admission = ts_admission_decide(&input, &error);
-    if (error == TS_E_QUEUE_FULL && displace_lower(owned, job)) {
+    if (error == TS_E_QUEUE_FULL && displace_lower_priority(owned, job)) {
         admission = TS_ADMIT_QUEUE;
     }
     switch (admission) {
@@ -294,10 +297,10 @@
     }
 }
 
-/* ---- ending ---- */
+/* ---- cancellation, deadlines and health ---- */
 
-/* Takes a job out of its slot or out of the queue, without a reply. */
-static void withdraw(ts_job_t *job)
+/* Removes a job from its slot or from the queue, without a reply. */
+static void detach_job(ts_job_t *job)
 {
     ts_owned_t *owned = job->owned;
     if (job->call == NULL) {
@@ -316,9 +319,9 @@
     bool is_unrepeatable = job->work->unrepeatable;
     bool is_running = job->call != NULL;
     if (is_unrepeatable && is_running) {
-        return; /* its outcome is wanted for a repeat */
+        return; /* its outcome is stored for a repeat */
     }
-    withdraw(job);
+    detach_job(job);
     ts_count(TS_COUNTER_BROKER_CANCELLED, 1);
     if (is_unrepeatable) {
         ts_idempotency_release(owned->broker->idempotency, job->work->request_id);
@@ -346,7 +349,7 @@
         }
         ts_subreply_t subreply = {.error = TS_E_DEADLINE, .run = TS_RUN_MAYBE};
         subreply.service_us = (uint32_t)(now_us - job->started_us);
-        withdraw(job);
+        detach_job(job);
         ts_job_reply(job, &subreply);
     }
 }
@@ -362,29 +365,31 @@
     }
 }
 
-/* What a reply said of draining outlives what the lagging endpoint still says. */
-static bool is_late_news(const ts_owned_t *owned, ts_searcher_health_t health)
+/* Whether the health endpoint, which lags, still reports a backend as serving that has said in a
+   reply that it is draining. */
+static bool is_outdated_health(const ts_owned_t *owned, ts_searcher_health_t health)
 {
     return owned->state == TS_OWNED_DRAINING && health == TS_HEALTH_SERVING &&
-           ts_clock_now_us() - owned->drain_told_us < DRAIN_TOLD_US;
+           ts_clock_now_us() - owned->drain_reported_us < DRAIN_REPORT_TTL_US;
 }
 
-static void take_health(void *context, ts_searcher_health_t health)
+static void handle_health(void *context, ts_searcher_health_t health)
 {
     static const ts_owned_state_t states[] = {TS_OWNED_UNREACHABLE, TS_OWNED_STARTING,
                                               TS_OWNED_SERVING, TS_OWNED_DRAINING};
     ts_owned_t *owned = context;
-    owned->health_pending = false;
+    owned->is_health_pending = false;
     if (owned->is_health_stale) {
         owned->is_health_stale = false;
-        owned->health_due_us = 0; /* asked before a stall: ask again */
+        owned->health_due_us = 0; /* sent before a stall: check again */
         return;
     }
-    if (!is_late_news(owned, health)) {
+    if (!is_outdated_health(owned, health)) {
         ts_owned_set_state(owned, states[health]);
     }
-    bool is_well = health == TS_HEALTH_SERVING || health == TS_HEALTH_DRAINING;
-    owned->health_due_us = ts_clock_now_us() + (is_well ? HEALTH_PERIOD_US : HEALTH_RETRY_US);
+    bool is_reachable = health == TS_HEALTH_SERVING || health == TS_HEALTH_DRAINING;
+    owned->health_due_us =
+        ts_clock_now_us() + (is_reachable ? HEALTH_INTERVAL_US : HEALTH_RETRY_INTERVAL_US);
     run_next(owned);
 }
 
@@ -394,15 +399,15 @@
         return;
     }
     ts_owned_set_state(owned, TS_OWNED_CHECKING);
-    owned->allowed = 0;
-    owned->is_health_stale = owned->health_pending;
+    owned->slots_allowed = 0;
+    owned->is_health_stale = owned->is_health_pending;
     owned->health_due_us = 0;
 }
 
 static void check_health(ts_owned_t *owned)
 {
-    owned->health_pending = true;
-    owned->broker->client->check_health(owned->searcher, take_health, owned);
+    owned->is_health_pending = true;
+    owned->broker->client->check_health(owned->searcher, handle_health, owned);
 }
 
 void ts_owned_tick(ts_owned_t *owned, ts_time_us_t now_us)
@@ -410,7 +415,7 @@
     expire_running(owned, now_us);
     expire_waiting(owned, now_us);
     run_next(owned);
-    if (owned->state != TS_OWNED_RETIRED && !owned->health_pending &&
+    if (owned->state != TS_OWNED_RETIRED && !owned->is_health_pending &&
         owned->health_due_us <= now_us) {
         check_health(owned);
     }
--- a/src/broker/searcher_http.c
+++ b/src/broker/searcher_http.c
@@ -1,6 +1,6 @@
 /**
- * Searchers over HTTP/1.1 and JSON: POST /search with one shard a request, GET /health. Closing the
- * connection cancels. The forms are described in docs/API.md.
+ * Client for searchers over HTTP/1.1 and JSON: POST /search for one shard, GET /health. A request
+ * is cancelled by closing its connection. The format is described in docs/API.md.
  */
 #include <jansson.h>
 #include <stdlib.h>
@@ -79,11 +79,11 @@
     json_t *root = json_loadb(result->body, result->body_length, JSON_REJECT_DUPLICATES, NULL);
     const json_t *snapshot = json_object_get(root, "snapshot");
     const json_t *total = json_object_get(root, "total");
-    bool is_good = json_is_integer(snapshot) && json_integer_value(snapshot) > 0 &&
-                   json_is_integer(total) && json_integer_value(total) >= 0 &&
-                   read_hits(json_object_get(root, "hits"), subreply);
+    bool is_valid = json_is_integer(snapshot) && json_integer_value(snapshot) > 0 &&
+                    json_is_integer(total) && json_integer_value(total) >= 0 &&
+                    read_hits(json_object_get(root, "hits"), subreply);
     subreply->run = TS_RUN_DONE;
-    if (is_good) {
+    if (is_valid) {
         subreply->snapshot = (uint64_t)json_integer_value(snapshot);
         subreply->total = (uint64_t)json_integer_value(total);
     } else {
@@ -93,7 +93,7 @@
     json_decref(root);
 }
 
-/* A 503 names its reason; the searcher promises that it did not run the request. */
+/* A 503 contains its reason and guarantees that the searcher has not executed the request. */
 static ts_error_t read_unavailable(const ts_http_result_t *result, ts_subreply_t *subreply)
 {
     json_t *root = json_loadb(result->body, result->body_length, 0, NULL);
@@ -134,7 +134,7 @@
     }
 }
 
-static void finish_search(void *context, const ts_http_result_t *result)
+static void on_search_done(void *context, const ts_http_result_t *result)
 {
     ts_searcher_call_t *call = context;
     ts_subreply_t subreply = {0};
@@ -175,7 +175,7 @@
     call->sent_us = ts_clock_now_us();
     char *body = write_request(work, shard, wanted_snapshot, left_us);
     ts_http_send_t send = {"POST", "/search", NULL, body, strlen(body)};
-    call->call = ts_http_call(searcher->pool, &send, finish_search, call);
+    call->call = ts_http_call(searcher->pool, &send, on_search_done, call);
     free(body);
     return call;
 }
@@ -210,7 +210,7 @@
     return health;
 }
 
-static void finish_health(void *context, const ts_http_result_t *result)
+static void on_health_done(void *context, const ts_http_result_t *result)
 {
     health_call_t *call = context;
     call->done(call->context, read_health(result));
@@ -223,7 +223,7 @@
     call->done = done;
     call->context = context;
     ts_http_send_t send = {"GET", "/health", NULL, NULL, 0};
-    ts_http_call(searcher->pool, &send, finish_health, call);
+    ts_http_call(searcher->pool, &send, on_health_done, call);
 }
 
 static const ts_searcher_client_t searcher_http = {open_searcher, close_searcher, search,
--- a/src/front/caller_http.c
+++ b/src/front/caller_http.c
@@ -1,4 +1,4 @@
-/** The callers' interface over HTTP: POST /v1/query. */
+/** Query API over HTTP: POST /v1/query. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -13,15 +13,15 @@
 #define REQUEST_ID_SIZE 129
 
 static ts_http_server_t *server;
-static ts_front_t *query_front;
+static ts_front_t *front_instance;
 
-/* One caller's request while its query is worked on. */
-typedef struct caller {
+/* An HTTP request whose query is in progress. */
+typedef struct caller_request {
     ts_http_exchange_t *exchange;
     ts_query_t *query;
-} caller_t;
+} caller_request_t;
 
-static int status_of_refusal(ts_error_t error)
+static int refusal_status(ts_error_t error)
 {
     switch (error) {
     case TS_E_BAD_REQUEST:
@@ -40,13 +40,13 @@
     }
 }
 
-static int status_of(const ts_answer_t *answer)
+static int answer_status(const ts_answer_t *answer)
 {
     switch (answer->outcome) {
     case TS_OUTCOME_ANSWERED:
         return 200;
     case TS_OUTCOME_REFUSED:
-        return status_of_refusal(answer->error);
+        return refusal_status(answer->error);
     case TS_OUTCOME_UNKNOWN:
         return 504;
     }
@@ -56,10 +56,10 @@
 static void send_answer(ts_http_exchange_t *exchange, const ts_answer_t *answer, const char *detail)
 {
     char *text = ts_caller_json_write(answer, detail);
-    int status = status_of(answer);
-    bool may_come_back = status >= 500;
+    int status = answer_status(answer);
+    bool is_retryable = status >= 500;
     ts_http_reply(exchange, status, "application/json", text, strlen(text),
-                  may_come_back ? answer->retry_after_ms : 0);
+                  is_retryable ? answer->retry_after_ms : 0);
     free(text);
 }
 
@@ -71,22 +71,23 @@
     send_answer(exchange, &answer, detail);
 }
 
-static void take_answer(void *context, const ts_answer_t *answer)
+static void on_answer(void *context, const ts_answer_t *answer)
 {
-    caller_t *caller = context;
-    send_answer(caller->exchange, answer, NULL);
-    g_free(caller);
+    caller_request_t *caller_request = context;
+    send_answer(caller_request->exchange, answer, NULL);
+    g_free(caller_request);
 }
 
-static void take_abandoned(void *context)
+static void on_disconnect(void *context)
 {
-    caller_t *caller = context;
-    ts_front_abandon(caller->query);
-    g_free(caller);
+    caller_request_t *caller_request = context;
+    ts_front_abandon(caller_request->query);
+    g_free(caller_request);
 }
 
-/* The id in the body wins; then the header; then one is made, so that logs and journals match. */
-static void complete_id(ts_http_exchange_t *exchange, ts_query_request_t *request)
+/* Takes the id from the body, else from the header; else generates one, so that log lines and
+   journals can be matched. */
+static void ensure_id(ts_http_exchange_t *exchange, ts_query_request_t *request)
 {
     char id[REQUEST_ID_SIZE];
     if (request->id != NULL) {
@@ -100,19 +101,19 @@
     }
     request->id = g_uuid_string_random();
     if (request->issued_at_ms == 0) {
-        request->issued_at_ms = ts_clock_wall_ms(); /* a fresh id is as old as this moment */
+        request->issued_at_ms = ts_clock_wall_ms(); /* the id is generated now */
     }
 }
 
 static void start_query(ts_http_exchange_t *exchange, ts_query_request_t *request)
 {
-    caller_t *caller = g_new0(caller_t, 1);
-    caller->exchange = exchange;
-    complete_id(exchange, request);
-    ts_query_t *query = ts_front_submit(query_front, request, take_answer, caller);
+    caller_request_t *caller_request = g_new0(caller_request_t, 1);
+    caller_request->exchange = exchange;
+    ensure_id(exchange, request);
+    ts_query_t *query = ts_front_submit(front_instance, request, on_answer, caller_request);
     if (query != NULL) {
-        caller->query = query;
-        ts_http_watch(exchange, take_abandoned, caller);
+        caller_request->query = query;
+        ts_http_watch(exchange, on_disconnect, caller_request);
     }
 }
 
@@ -146,7 +147,7 @@
 {
     ts_http_limits_t limits = {settings->body_bytes_max, REQUEST_TIMEOUT_MS,
                                settings->connections_max};
-    query_front = front;
+    front_instance = front;
     return ts_http_server_open(&server, loop, settings->callers, &limits, handle_request, NULL);
 }
 
--- a/src/front/caller_json.c
+++ b/src/front/caller_json.c
@@ -1,4 +1,4 @@
-/** JSON of the callers' interface, by jansson. */
+/** Reads and writes the JSON of the query API. */
 #include "caller_json.h"
 
 #include <jansson.h>
@@ -9,7 +9,7 @@
 #define ID_MAX 128U
 #define TEXT_MAX 4096U
 #define DEFAULT_LIMIT 10
-/* Digits of scores: enough to order hits, short enough to read. */
+/* Digits of scores and other real numbers: enough to order hits, short enough to read. */
 #define REAL_DIGITS 10
 #define US_PER_MS_DOUBLE 1000.0
 
@@ -19,18 +19,18 @@
     return names[outcome];
 }
 
-/* One key of a request: its name, its JSON type, and where the value goes. */
+/* One key of a request: its type, its offset in ts_query_request_t, and its limit. */
 typedef enum field_type { FIELD_TEXT, FIELD_COUNT, FIELD_TIME, FIELD_FLAG } field_type_t;
 typedef struct field {
     const char *name;
     field_type_t type;
     size_t offset;
-    json_int_t most; /* longest text or largest number */
+    json_int_t max; /* length of a text, or value of a number */
 } field_t;
 
-#define FIELD(type, member, most)                                                                  \
+#define FIELD(type, member, max)                                                                   \
     {                                                                                              \
-#member, type, offsetof(ts_query_request_t, member), most                                  \
+#member, type, offsetof(ts_query_request_t, member), max                                   \
     }
 static const field_t fields[] = {
     FIELD(FIELD_TEXT, id, ID_MAX),
@@ -55,53 +55,53 @@
     return NULL;
 }
 
-static const char *read_number(const field_t *field, const json_t *value, void *place)
+static const char *read_number(const field_t *field, const json_t *value, void *target)
 {
     if (!json_is_integer(value)) {
         return "a number has the wrong type";
     }
     json_int_t number = json_integer_value(value);
-    if (number < 0 || number > field->most) {
+    if (number < 0 || number > field->max) {
         return "a number is out of range";
     }
     if (field->type == FIELD_TIME) {
-        *(int64_t *)place = number;
+        *(int64_t *)target = number;
     } else {
-        *(uint32_t *)place = (uint32_t)number;
+        *(uint32_t *)target = (uint32_t)number;
     }
     return NULL;
 }
 
-static const char *read_text(const field_t *field, const json_t *value, void *place)
+static const char *read_text(const field_t *field, const json_t *value, void *target)
 {
     if (!json_is_string(value)) {
         return "a text has the wrong type";
     }
     size_t length = json_string_length(value);
-    if (length == 0 || length > (size_t)field->most || strlen(json_string_value(value)) != length) {
+    if (length == 0 || length > (size_t)field->max || strlen(json_string_value(value)) != length) {
         return "a text is empty, too long or has a zero byte";
     }
-    *(char **)place = g_strdup(json_string_value(value));
+    *(char **)target = g_strdup(json_string_value(value));
     return NULL;
 }
 
-/* Returns NULL or what is wrong. */
+/* Returns NULL or the problem. */
 static const char *read_field(const field_t *field, const json_t *value,
                               ts_query_request_t *request)
 {
-    void *place = (char *)request + field->offset;
+    void *target = (char *)request + field->offset;
     switch (field->type) {
     case FIELD_TEXT:
-        return read_text(field, value, place);
+        return read_text(field, value, target);
     case FIELD_FLAG:
         if (!json_is_boolean(value)) {
             return "a flag has the wrong type";
         }
-        *(bool *)place = json_is_true(value);
+        *(bool *)target = json_is_true(value);
         return NULL;
     case FIELD_COUNT:
     case FIELD_TIME:
-        return read_number(field, value, place);
+        return read_number(field, value, target);
     }
     return NULL;
 }
@@ -116,9 +116,9 @@
     json_object_foreach(root, key, value)
     {
         const field_t *field = find_field(key);
-        const char *wrong = field == NULL ? "an unknown key" : read_field(field, value, request);
-        if (wrong != NULL) {
-            return wrong;
+        const char *problem = field == NULL ? "an unknown key" : read_field(field, value, request);
+        if (problem != NULL) {
+            return problem;
         }
     }
     if (request->kind == NULL) {
@@ -161,9 +161,9 @@
                               json_pack("{s:s, s:i, s:i}", "group", group->group, "shards",
                                         (int)group->shards, "covered", (int)group->covered));
     }
-    double part = answer->shards == 0 ? 0 : (double)answer->covered / answer->shards;
+    double ratio = answer->shards == 0 ? 0 : (double)answer->covered / answer->shards;
     return json_pack("{s:i, s:i, s:f, s:o}", "shards", (int)answer->shards, "covered",
-                     (int)answer->covered, "ratio", part, "groups", groups);
+                     (int)answer->covered, "ratio", ratio, "groups", groups);
 }
 
 static json_t *write_hits(const ts_answer_t *answer)
--- a/src/front/directory.c
+++ b/src/front/directory.c
@@ -1,38 +1,39 @@
-/** The front's directory of back ends. */
+/** The front's directory of backends. */
 #include "tealspar/directory.h"
 
 #include <math.h>
 #include <string.h>
 
-#define SERVICE_WEIGHT 0.1
-#define USUAL_WEIGHT 0.01
+#define SERVICE_EWMA_ALPHA 0.1
+#define MEAN_EWMA_ALPHA 0.01
 #define AVOID_BASE_US 20000ULL
 #define AVOID_MAX_SHIFT 6U
 #define NO_HINT_AGE_US (10ULL * TS_US_PER_S)
 
-/* A slow replica is given another chance: what was learned of it fades at this half-life. */
+/* Half-life at which a service time above the mean decays towards the mean, so that a slow replica
+   is tried again. */
 #define SLOW_HALF_LIFE_US 1000000.0
-/* A silent peer gets one subrequest a span, to find out whether it answers again. */
-#define SILENT_PROBE_US (250ULL * TS_US_PER_MS)
-#define SILENT_OUT_LEAST 3U
+/* A silent peer is not avoided once per interval, to find out whether it answers again. */
+#define SILENT_PROBE_INTERVAL_US (250ULL * TS_US_PER_MS)
+#define SILENT_OUTSTANDING_MIN 3U
 
-/* What the front knows of another node as a broker. */
+/* Subrequests outstanding at another node. */
 typedef struct peer_record {
     uint64_t id;
-    uint32_t out;                 /* subrequests without a reply */
-    ts_time_us_t silent_since_us; /* first subrequest after it was last heard; 0: none is out */
-    ts_time_us_t next_probe_us;   /* while silent */
+    uint32_t outstanding;             /* subrequests not ended yet */
+    ts_time_us_t unanswered_since_us; /* first send since its last reply; 0: none */
+    ts_time_us_t next_probe_us;       /* while silent */
     bool is_silent;
 } peer_record_t;
 
 struct ts_directory {
-    GHashTable *replicas;     /* &id -> ts_replica_t, owned */
-    GHashTable *peers;        /* &id -> peer_record_t, owned */
-    double usual_service_us;  /* moving average over all replicas */
-    double usual_overhead_us; /* moving average of network and queue: latency less service */
+    GHashTable *replicas;    /* &id -> ts_replica_t, owned */
+    GHashTable *peers;       /* &id -> peer_record_t, owned */
+    double mean_service_us;  /* moving average over all replicas */
+    double mean_overhead_us; /* moving average of latency minus service time */
     ts_view_t *view;
     const char *self_zone;
-    uint64_t epoch; /* grows with every view */
+    uint64_t epoch; /* incremented with every view */
 };
 
 ts_directory_t *ts_directory_create(void)
@@ -86,14 +87,14 @@
         return NULL;
     }
     ts_replica_t *replica = ts_directory_replica(directory, backend);
-    if (replica->epoch != directory->epoch) {
+    if (replica->owner_epoch != directory->epoch) {
         replica->owner = ts_view_owner(directory->view, backend);
-        replica->epoch = directory->epoch;
+        replica->owner_epoch = directory->epoch;
     }
     return replica->owner;
 }
 
-/* Whether a failure says something about the back end rather than about the request. */
+/* Whether an error is caused by the backend or its owner rather than by the request. */
 static bool is_backend_failure(ts_error_t error)
 {
     switch (error) {
@@ -111,21 +112,21 @@
     }
 }
 
-static void learn_service(ts_replica_t *replica, double service_us, ts_time_us_t now_us)
+static void update_service_time(ts_replica_t *replica, double service_us, ts_time_us_t now_us)
 {
-    replica->learned_us = now_us;
+    replica->service_updated_us = now_us;
     replica->service_us =
         replica->service_us <= 0
             ? service_us
-            : replica->service_us + SERVICE_WEIGHT * (service_us - replica->service_us);
+            : replica->service_us + SERVICE_EWMA_ALPHA * (service_us - replica->service_us);
 }
 
 void ts_directory_learn_censored(ts_directory_t *directory, ts_replica_t *replica,
                                  ts_time_us_t age_us, ts_time_us_t now_us)
 {
-    double service_us = (double)age_us - directory->usual_overhead_us;
+    double service_us = (double)age_us - directory->mean_overhead_us;
     if (service_us > replica->service_us && replica->queue_length == 0) {
-        learn_service(replica, service_us, now_us);
+        update_service_time(replica, service_us, now_us);
     }
 }
 
@@ -136,26 +137,27 @@
     replica->queue_length = subreply->queue_length;
     replica->hint_us = now_us;
     if (subreply->error == TS_OK) {
-        learn_service(replica, subreply->service_us, now_us);
-        directory->usual_service_us +=
-            USUAL_WEIGHT * (subreply->service_us - directory->usual_service_us);
+        update_service_time(replica, subreply->service_us, now_us);
+        directory->mean_service_us +=
+            MEAN_EWMA_ALPHA * (subreply->service_us - directory->mean_service_us);
         double overhead_us = (double)latency_us - subreply->service_us;
-        directory->usual_overhead_us += USUAL_WEIGHT * (overhead_us - directory->usual_overhead_us);
+        directory->mean_overhead_us +=
+            MEAN_EWMA_ALPHA * (overhead_us - directory->mean_overhead_us);
         replica->snapshot = subreply->snapshot;
         replica->failures = 0;
         replica->avoid_until_us = 0;
     } else if (is_backend_failure(subreply->error)) {
         unsigned shift = MIN(replica->failures, AVOID_MAX_SHIFT);
-        ts_time_us_t span = AVOID_BASE_US << shift;
-        ts_time_us_t told = (ts_time_us_t)subreply->retry_after_ms * TS_US_PER_MS;
-        replica->avoid_until_us = now_us + MAX(span, told);
+        ts_time_us_t backoff_us = AVOID_BASE_US << shift;
+        ts_time_us_t reported_us = (ts_time_us_t)subreply->retry_after_ms * TS_US_PER_MS;
+        replica->avoid_until_us = now_us + MAX(backoff_us, reported_us);
         replica->failures++;
     }
 }
 
 /* ---- silent peers ---- */
 
-static peer_record_t *find_peer(ts_directory_t *directory, uint64_t id)
+static peer_record_t *ensure_peer(ts_directory_t *directory, uint64_t id)
 {
     peer_record_t *peer = g_hash_table_lookup(directory->peers, &id);
     if (peer == NULL) {
@@ -168,26 +170,26 @@
 
 void ts_directory_note_sent(ts_directory_t *directory, uint64_t id, ts_time_us_t now_us)
 {
-    peer_record_t *peer = find_peer(directory, id);
-    peer->out++;
-    if (peer->silent_since_us == 0) {
-        peer->silent_since_us = now_us;
+    peer_record_t *peer = ensure_peer(directory, id);
+    peer->outstanding++;
+    if (peer->unanswered_since_us == 0) {
+        peer->unanswered_since_us = now_us;
     }
 }
 
 void ts_directory_note_heard(ts_directory_t *directory, uint64_t id)
 {
-    peer_record_t *peer = find_peer(directory, id);
-    peer->silent_since_us = 0;
+    peer_record_t *peer = ensure_peer(directory, id);
+    peer->unanswered_since_us = 0;
     peer->is_silent = false;
 }
 
 void ts_directory_note_ended(ts_directory_t *directory, uint64_t id)
 {
-    find_peer(directory, id)->out--;
+    ensure_peer(directory, id)->outstanding--;
 }
 
-GArray *ts_directory_find_silent(ts_directory_t *directory, ts_time_us_t bound_us,
+GArray *ts_directory_find_silent(ts_directory_t *directory, ts_time_us_t timeout_us,
                                  ts_time_us_t now_us)
 {
     GArray *silent = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -196,40 +198,41 @@
     g_hash_table_iter_init(&iterator, directory->peers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         peer_record_t *peer = value;
-        if (!peer->is_silent && peer->out >= SILENT_OUT_LEAST && peer->silent_since_us != 0 &&
-            now_us - peer->silent_since_us > bound_us) {
+        if (!peer->is_silent && peer->outstanding >= SILENT_OUTSTANDING_MIN &&
+            peer->unanswered_since_us != 0 && now_us - peer->unanswered_since_us > timeout_us) {
             peer->is_silent = true;
-            peer->next_probe_us = now_us + SILENT_PROBE_US;
+            peer->next_probe_us = now_us + SILENT_PROBE_INTERVAL_US;
             g_array_append_val(silent, peer->id);
         }
     }
     return silent;
 }
 
-/* Whether to keep away from a peer; now and then a silent one may be tried. */
-static bool is_to_be_avoided(ts_directory_t *directory, uint64_t id, ts_time_us_t now_us)
+/* Whether to avoid a peer. If a probe of a silent peer is due, returns false and schedules the
+ * next. */
+static bool should_avoid_peer(ts_directory_t *directory, uint64_t id, ts_time_us_t now_us)
 {
-    peer_record_t *peer = find_peer(directory, id);
+    peer_record_t *peer = ensure_peer(directory, id);
     if (!peer->is_silent) {
         return false;
     }
     if (now_us < peer->next_probe_us) {
         return true;
     }
-    peer->next_probe_us = now_us + SILENT_PROBE_US;
+    peer->next_probe_us = now_us + SILENT_PROBE_INTERVAL_US;
     return false;
 }
 
-/* What was learned of a replica fades towards what is usual. */
-static double faded_service(const ts_directory_t *directory, const ts_replica_t *replica,
-                            ts_time_us_t now_us)
+/* Service time of a replica, decayed towards the mean if it is above the mean. */
+static double decayed_service_us(const ts_directory_t *directory, const ts_replica_t *replica,
+                                 ts_time_us_t now_us)
 {
-    double usual = directory->usual_service_us;
-    if (replica->service_us <= usual || usual <= 0) {
+    double mean_us = directory->mean_service_us;
+    if (replica->service_us <= mean_us || mean_us <= 0) {
         return replica->service_us;
     }
-    double age_us = (double)(now_us - replica->learned_us);
-    return usual + (replica->service_us - usual) * exp2(-age_us / SLOW_HALF_LIFE_US);
+    double age_us = (double)(now_us - replica->service_updated_us);
+    return mean_us + (replica->service_us - mean_us) * exp2(-age_us / SLOW_HALF_LIFE_US);
 }
 
 void ts_directory_describe(ts_directory_t *directory, const ts_backend_t *backend,
@@ -242,11 +245,11 @@
     candidate->slots_in_use = replica->slots_in_use;
     candidate->queue_length = replica->queue_length;
     candidate->hint_age_us = replica->hint_us == 0 ? NO_HINT_AGE_US : now_us - replica->hint_us;
-    candidate->service_us = faded_service(directory, replica, now_us);
+    candidate->service_us = decayed_service_us(directory, replica, now_us);
     candidate->snapshot = replica->snapshot;
     candidate->avoid = replica->avoid_until_us > now_us;
     if (owner != NULL && !owner->is_self) {
-        candidate->avoid |= is_to_be_avoided(directory, owner->id, now_us);
+        candidate->avoid |= should_avoid_peer(directory, owner->id, now_us);
     }
     candidate->same_zone = owner != NULL && strcmp(owner->zone, directory->self_zone) == 0;
     candidate->tried = false;
--- a/src/front/dispatch.c
+++ b/src/front/dispatch.c
@@ -1,10 +1,9 @@
-/** Sending of attempts: parts to the same owner go in one message. */
+/** Sends attempts; parts for the same owner go in one message. */
 #include <string.h>
 
 #include "front_internal.h"
 #include "tealspar/counters.h"
 
-/* Parts for one owner. */
 typedef struct owner_batch {
     uint64_t peer;
     GArray *parts;
@@ -25,7 +24,7 @@
     return dispatch;
 }
 
-static GArray *find_batch(ts_dispatch_t *dispatch, uint64_t peer)
+static GArray *ensure_batch(ts_dispatch_t *dispatch, uint64_t peer)
 {
     for (guint i = 0; i < dispatch->batches->len; i++) {
         owner_batch_t *batch = &g_array_index(dispatch->batches, owner_batch_t, i);
@@ -55,12 +54,12 @@
     return attempt;
 }
 
-ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t index, uint32_t rank,
+ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t index, uint32_t replica_index,
                            uint64_t wanted_snapshot, bool is_hedge)
 {
     ts_query_t *query = dispatch->query;
     ts_fragment_t *fragment = &query->fragments[index];
-    const ts_backend_t *backend = &query->declarations->backends[fragment->replicas[rank]];
+    const ts_backend_t *backend = &query->declarations->backends[fragment->replicas[replica_index]];
     const ts_view_member_t *owner = ts_directory_owner(query->front->directory, backend);
     if (owner == NULL) {
         return TS_E_NO_REPLICA;
@@ -69,12 +68,12 @@
     ts_replica_t *replica = ts_directory_replica(query->front->directory, backend);
     ts_attempt_t *attempt = create_attempt(dispatch, index, replica, peer);
     attempt->is_hedge = is_hedge;
-    attempt->rank = rank;
+    attempt->replica_index = replica_index;
     attempt->wanted_snapshot = wanted_snapshot;
-    fragment->attempts[fragment->attempts_out++] = attempt;
+    fragment->attempts[fragment->attempts_in_flight++] = attempt;
     fragment->attempts_made++;
-    fragment->asked = peer;
-    fragment->tried |= 1ULL << rank;
+    fragment->last_peer = peer;
+    fragment->tried |= 1ULL << replica_index;
     fragment->state = TS_FRAGMENT_WAITING;
     ts_part_t part = {
         .counter = attempt->counter,
@@ -82,7 +81,7 @@
         .shard = query->declarations->shards[fragment->shard].id,
         .wanted_snapshot = wanted_snapshot,
     };
-    g_array_append_val(find_batch(dispatch, peer), part);
+    g_array_append_val(ensure_batch(dispatch, peer), part);
     return TS_OK;
 }
 
@@ -110,18 +109,18 @@
     g_free(dispatch);
 }
 
-static void forget_attempt(ts_fragment_t *fragment, const ts_attempt_t *attempt)
+static void remove_attempt(ts_fragment_t *fragment, const ts_attempt_t *attempt)
 {
-    for (uint32_t i = 0; i < fragment->attempts_out; i++) {
+    for (uint32_t i = 0; i < fragment->attempts_in_flight; i++) {
         if (fragment->attempts[i] == attempt) {
-            fragment->attempts[i] = fragment->attempts[--fragment->attempts_out];
+            fragment->attempts[i] = fragment->attempts[--fragment->attempts_in_flight];
             return;
         }
     }
 }
 
-/* What is cancelled unanswered has taken at least its age. */
-static void learn_from_cancelled(const ts_attempt_t *attempt)
+/* The age of a cancelled attempt is a lower bound of its latency. */
+static void record_censored_latency(const ts_attempt_t *attempt)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     ts_time_us_t age_us = now_us - attempt->sent_us;
@@ -134,11 +133,11 @@
 void ts_attempt_end(ts_attempt_t *attempt, bool cancel)
 {
     ts_front_t *front = attempt->query->front;
-    forget_attempt(&attempt->query->fragments[attempt->fragment], attempt);
+    remove_attempt(&attempt->query->fragments[attempt->fragment], attempt);
     attempt->replica->in_flight--;
     ts_directory_note_ended(front->directory, attempt->peer);
     if (cancel) {
-        learn_from_cancelled(attempt);
+        record_censored_latency(attempt);
         ts_count(TS_COUNTER_CANCELS, 1);
         ts_front_send_cancel(front, attempt->peer, attempt->counter);
     }
--- a/src/front/front.c
+++ b/src/front/front.c
@@ -1,4 +1,4 @@
-/** The front task: admission, the table of attempts, and the messages that reach it. */
+/** The front task: admission of queries, the table of attempts, and message handling. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -13,15 +13,19 @@
 #define RETRY_BURST 200.0
 #define COUNTER_HIGH_SHIFT 32U
 #define OVERLOAD_RETRY_AFTER_MS 1000U
-/* Time for which a stopping front still takes queries while it already says that it leaves. */
+/* Time during which a stopping front still accepts queries, while callers are already told to close
+   their connections and the status says not ready. */
 #define LAME_DUCK_MS 1000
-/* A node that answers none of several subrequests for so long is treated as lost for a while. */
-#define SILENCE_LEAST_US (60ULL * TS_US_PER_MS)
-#define SILENCE_UNMEASURED_US (500ULL * TS_US_PER_MS)
+/*
+ * A node is silent if it has several subrequests outstanding and has not replied for a multiple of
+ * a latency quantile. Attempts at it fail, and it is avoided until it replies again.
+ */
+#define SILENCE_TIMEOUT_MIN_US (60ULL * TS_US_PER_MS)
+#define SILENCE_TIMEOUT_DEFAULT_US (500ULL * TS_US_PER_MS)
 #define SILENCE_FACTOR 3U
 #define SILENCE_QUANTILE 0.99
-#define SILENCE_SAMPLES 64U
-#define SILENCE_CHECK_MS 20
+#define SILENCE_SAMPLES_MIN 64U
+#define SILENCE_CHECK_INTERVAL_MS 20
 
 ts_kind_stats_t *ts_front_kind_stats(ts_front_t *front, const char *kind)
 {
@@ -30,7 +34,7 @@
         stats = g_new0(ts_kind_stats_t, 1);
         ts_budget_init(&stats->hedges, HEDGE_BURST);
         ts_budget_init(&stats->retries, RETRY_BURST);
-        ts_shedder_init(&stats->pass);
+        ts_shedder_init(&stats->shedder);
         g_hash_table_insert(front->kinds, g_strdup(kind), stats);
     }
     return stats;
@@ -47,7 +51,7 @@
 
 ts_error_t ts_front_readiness(const ts_front_t *front)
 {
-    if (front->stopping) {
+    if (front->is_stopping) {
         return TS_E_STOPPING;
     }
     bool has_view = ts_directory_view(front->directory) != NULL;
@@ -81,11 +85,11 @@
     work->issued_at_ms = request->issued_at_ms;
     work->priority = query->selector->priority;
     work->slot_share_percent = query->selector->slot_share_percent;
-    work->deadline_us = query->started_us + query->span_us;
+    work->deadline_us = query->started_us + query->deadline_span_us;
     return work;
 }
 
-/* Checks that need the declarations; those of form were made by the caller interface. */
+/* Checks that need the declarations; the caller API has already validated the format. */
 static ts_error_t check_request(ts_front_t *front, const ts_query_request_t *request,
                                 const ts_selector_t **found)
 {
@@ -113,7 +117,7 @@
         return TS_E_OVERLOAD;
     }
     const ts_kind_stats_t *stats = ts_front_kind_stats(front, selector->kind);
-    if (front->policy->retries && !ts_shedder_admits(&stats->pass, ts_front_random(front))) {
+    if (front->policy->retries && !ts_shedder_admits(&stats->shedder, ts_front_random(front))) {
         return TS_E_OVERLOAD;
     }
     return TS_OK;
@@ -124,7 +128,7 @@
 {
     ts_answer_t answer = {
         .id = request->id,
-        /* Of a repeat only its owner can say that it was not run before. */
+        /* Only the owner can tell that an earlier send of a repeated request was not executed. */
         .outcome = request->repeat ? TS_OUTCOME_UNKNOWN : TS_OUTCOME_REFUSED,
         .error = error,
         .retry_after_ms = OVERLOAD_RETRY_AFTER_MS,
@@ -149,7 +153,7 @@
     if (request->deadline_ms != 0) {
         deadline_ms = MIN(deadline_ms, request->deadline_ms);
     }
-    query->span_us = deadline_ms * TS_US_PER_MS;
+    query->deadline_span_us = deadline_ms * TS_US_PER_MS;
     query->work = create_work(query);
     return query;
 }
@@ -170,7 +174,7 @@
     g_hash_table_add(front->queries, query);
     ts_count(TS_COUNTER_QUERIES_IN_FLIGHT, 1);
     ts_query_start(query);
-    return query->finished ? NULL : query;
+    return query->is_finished ? NULL : query;
 }
 
 void ts_front_abandon(ts_query_t *query)
@@ -178,7 +182,7 @@
     ts_query_abandon(query);
 }
 
-static void take_subreply(ts_front_t *front, ts_subreply_t *subreply)
+static void handle_subreply(ts_front_t *front, ts_subreply_t *subreply)
 {
     ts_count(TS_COUNTER_SUBREPLIES, 1);
     ts_attempt_t *attempt = g_hash_table_lookup(front->attempts, &subreply->counter);
@@ -197,23 +201,24 @@
 }
 
 /*
- * Fails what is out at a node that is lost or silent. An unrepeatable request waits on after a
- * silence: its owner may still answer, and nobody else may be asked.
+ * Fails the attempts at a node that is lost or silent. Unrepeatable requests keep waiting for a
+ * node that is only silent: their owner may still answer, and no other node may be asked.
  */
-static void fail_attempts_at(ts_front_t *front, uint64_t peer, bool also_unrepeatable)
+static void fail_attempts_of_peer(ts_front_t *front, uint64_t peer, bool include_unrepeatable)
 {
-    GArray *lost = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    GArray *counters = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, front->attempts);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const ts_attempt_t *attempt = value;
-        if (attempt->peer == peer && (also_unrepeatable || !attempt->query->work->unrepeatable)) {
-            g_array_append_val(lost, attempt->counter);
+        if (attempt->peer == peer &&
+            (include_unrepeatable || !attempt->query->work->unrepeatable)) {
+            g_array_append_val(counters, attempt->counter);
         }
     }
-    for (guint i = 0; i < lost->len; i++) {
-        uint64_t counter = g_array_index(lost, uint64_t, i);
+    for (guint i = 0; i < counters->len; i++) {
+        uint64_t counter = g_array_index(counters, uint64_t, i);
         ts_attempt_t *attempt = g_hash_table_lookup(front->attempts, &counter);
         if (attempt != NULL) {
             ts_subreply_t subreply = {.error = TS_E_PEER_LOST, .run = TS_RUN_MAYBE};
@@ -221,59 +226,61 @@
             ts_query_take(attempt, &subreply);
         }
     }
-    g_array_free(lost, TRUE);
+    g_array_free(counters, TRUE);
 }
 
 /*
- * How long a node may answer nothing: well above what the kinds' subrequests take as measured, so
- * that slow searchers are not taken for a silent node; long while a kind is not measured yet.
+ * Time without a reply after which a node is silent: well above the measured latencies of every
+ * kind, so that a node with slow searchers is not considered silent. Long while a kind has too few
+ * samples.
  */
-static ts_time_us_t silence_bound_us(const ts_front_t *front)
+static ts_time_us_t silence_timeout_us(const ts_front_t *front)
 {
-    ts_time_us_t bound_us = SILENCE_LEAST_US;
+    ts_time_us_t timeout_us = SILENCE_TIMEOUT_MIN_US;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, front->kinds);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const ts_kind_stats_t *stats = value;
-        bool is_measured = stats->latencies.total >= SILENCE_SAMPLES;
-        ts_time_us_t usual_us = ts_histogram_quantile(&stats->latencies, SILENCE_QUANTILE);
-        bound_us = MAX(bound_us, is_measured ? SILENCE_FACTOR * usual_us : SILENCE_UNMEASURED_US);
+        bool is_measured = stats->latencies.total >= SILENCE_SAMPLES_MIN;
+        ts_time_us_t quantile_us = ts_histogram_quantile(&stats->latencies, SILENCE_QUANTILE);
+        timeout_us = MAX(timeout_us,
+                         is_measured ? SILENCE_FACTOR * quantile_us : SILENCE_TIMEOUT_DEFAULT_US);
     }
-    return bound_us;
+    return timeout_us;
 }
 
 static void check_silence(ts_timer_t *timer)
 {
     ts_front_t *front = timer->data;
     if (g_hash_table_size(front->attempts) == 0) {
-        ts_timer_stop(timer); /* nothing is out */
+        ts_timer_stop(timer); /* no attempts in flight */
         return;
     }
     GArray *silent =
-        ts_directory_find_silent(front->directory, silence_bound_us(front), ts_clock_now_us());
+        ts_directory_find_silent(front->directory, silence_timeout_us(front), ts_clock_now_us());
     for (guint i = 0; i < silent->len; i++) {
         ts_count(TS_COUNTER_PEERS_SILENT, 1);
-        fail_attempts_at(front, g_array_index(silent, uint64_t, i), false);
+        fail_attempts_of_peer(front, g_array_index(silent, uint64_t, i), false);
     }
     g_array_free(silent, TRUE);
 }
 
 void ts_front_watch_silence(ts_front_t *front)
 {
-    if (!front->silence.is_active) {
-        ts_timer_start(&front->silence, SILENCE_CHECK_MS, SILENCE_CHECK_MS);
+    if (!front->silence_timer.is_active) {
+        ts_timer_start(&front->silence_timer, SILENCE_CHECK_INTERVAL_MS, SILENCE_CHECK_INTERVAL_MS);
     }
 }
 
-static void take_declarations(ts_front_t *front, ts_declarations_t *declarations)
+static void set_declarations(ts_front_t *front, ts_declarations_t *declarations)
 {
     ts_declarations_unref(front->declarations);
     front->declarations = ts_declarations_ref(declarations);
 }
 
-/* Says once that queries are taken now. */
-static void note_readiness(ts_front_t *front)
+/* Logs once that queries are accepted. */
+static void log_readiness(ts_front_t *front)
 {
     if (!front->has_been_ready && ts_front_readiness(front) == TS_OK) {
         front->has_been_ready = true;
@@ -286,13 +293,13 @@
     ts_front_t *front = state;
     switch (message->type) {
     case TS_MESSAGE_SUBREPLIES:
-        take_subreply(front, &((ts_subreply_message_t *)message)->subreply);
+        handle_subreply(front, &((ts_subreply_message_t *)message)->subreply);
         break;
     case TS_MESSAGE_PEER_LOST:
-        fail_attempts_at(front, ((ts_peer_message_t *)message)->peer, true);
+        fail_attempts_of_peer(front, ((ts_peer_message_t *)message)->peer, true);
         break;
     case TS_MESSAGE_DECLARATIONS:
-        take_declarations(front, ((ts_declarations_message_t *)message)->declarations);
+        set_declarations(front, ((ts_declarations_message_t *)message)->declarations);
         break;
     case TS_MESSAGE_VIEW:
         ts_directory_set_view(front->directory, ((ts_view_message_t *)message)->view);
@@ -300,11 +307,11 @@
     default:
         break;
     }
-    note_readiness(front);
+    log_readiness(front);
 }
 
 static void check_silence(ts_timer_t *timer);
-static void stop_taking(ts_timer_t *timer);
+static void stop_accepting(ts_timer_t *timer);
 
 static ts_error_t open_front(ts_node_t *node)
 {
@@ -329,8 +336,8 @@
     ts_front_t *front = ts_node_state(node, "front");
     front->broker = ts_task_find(node->tasks, "broker");
     front->mesh = ts_task_find(node->tasks, "mesh");
-    ts_timer_init(&front->silence, node->runtime, check_silence, front);
-    ts_timer_init(&front->lame_duck, node->runtime, stop_taking, front);
+    ts_timer_init(&front->silence_timer, node->runtime, check_silence, front);
+    ts_timer_init(&front->lame_duck_timer, node->runtime, stop_accepting, front);
     const ts_plugin_t *plugin = NULL;
     while ((plugin = ts_plugin_next(TS_PLUGIN_CALLER_API, plugin)) != NULL) {
         const ts_caller_api_t *api = plugin->ops;
@@ -342,17 +349,17 @@
     return TS_OK;
 }
 
-static void stop_taking(ts_timer_t *timer)
+static void stop_accepting(ts_timer_t *timer)
 {
     ts_front_t *front = timer->data;
     const ts_plugin_t *plugin = NULL;
-    front->stopping = true;
+    front->is_stopping = true;
     while ((plugin = ts_plugin_next(TS_PLUGIN_CALLER_API, plugin)) != NULL) {
         ((const ts_caller_api_t *)plugin->ops)->drain();
     }
 }
 
-/* Not ready any more, but still serving until callers and balancers have noticed. */
+/* Queries are still accepted for LAME_DUCK_MS, until callers and load balancers have noticed. */
 static void stop_front(ts_node_t *node)
 {
     ts_front_t *front = ts_node_state(node, "front");
@@ -360,13 +367,13 @@
     while ((plugin = ts_plugin_next(TS_PLUGIN_CALLER_API, plugin)) != NULL) {
         ((const ts_caller_api_t *)plugin->ops)->leave();
     }
-    ts_timer_start(&front->lame_duck, LAME_DUCK_MS, 0);
+    ts_timer_start(&front->lame_duck_timer, LAME_DUCK_MS, 0);
 }
 
 static bool is_front_idle(ts_node_t *node)
 {
     const ts_front_t *front = ts_node_state(node, "front");
-    return front->stopping && g_hash_table_size(front->queries) == 0;
+    return front->is_stopping && g_hash_table_size(front->queries) == 0;
 }
 
 static void describe_front(ts_node_t *node, json_t *status)
@@ -398,4 +405,4 @@
 static const ts_task_ops_t front_ops = {open_front,    start_front,    stop_front,
                                         is_front_idle, describe_front, close_front};
 TS_REGISTER_PLUGIN(front_plugin, TS_PLUGIN_TASK, "front", 3, &front_ops,
-                   "takes queries, fans out, gathers and answers")
+                   "accepts queries, fans them out and merges the answers")
--- a/src/front/front_internal.h
+++ b/src/front/front_internal.h
@@ -1,4 +1,4 @@
-/** What the modules of the front share among themselves. */
+/** Shared by the modules of the front. */
 #ifndef TEALSPAR_FRONT_INTERNAL_H
 #define TEALSPAR_FRONT_INTERNAL_H
 
@@ -7,12 +7,12 @@
 #include "tealspar/node.h"
 #include "tealspar/route.h"
 
-/** What the front has measured of one kind, and the budgets it keeps for it. */
+/** Latencies, budgets and load shedding for one kind of query. */
 typedef struct ts_kind_stats {
-    ts_histogram_t latencies; /**< of answered subrequests, fading */
+    ts_histogram_t latencies; /**< of subrequests (cancelled ones: age); old samples decay */
     ts_budget_t hedges;
     ts_budget_t retries;
-    ts_shedder_t pass; /**< admission before fan-out */
+    ts_shedder_t shedder; /**< admission before fan-out */
 } ts_kind_stats_t;
 
 struct ts_front {
@@ -29,67 +29,66 @@
     GHashTable *queries;  /**< set of ts_query_t, owned */
     uint64_t counter;     /**< next subrequest id; the high half names this incarnation */
     uint64_t random;
-    ts_timer_t silence;   /**< looks for peers that have turned silent */
-    ts_timer_t lame_duck; /**< a stop has begun; queries are still taken */
+    ts_timer_t silence_timer;   /**< checks for silent peers */
+    ts_timer_t lame_duck_timer; /**< from the stop until queries are refused */
     bool has_been_ready;
-    bool stopping; /**< queries are not taken any more */
+    bool is_stopping; /**< queries are refused */
 };
 
 struct ts_query {
     ts_front_t *front;
     ts_query_request_t request;
     ts_work_t *work;
-    ts_declarations_t *declarations; /**< pinned */
+    ts_declarations_t *declarations; /**< referenced until the query ends */
     const ts_selector_t *selector;
     ts_kind_stats_t *stats;
     ts_answer_callback_t callback;
     void *context;
     ts_time_us_t started_us;
-    ts_time_us_t span_us; /**< deadline, from the start */
+    ts_time_us_t deadline_span_us; /**< from the start to the deadline */
     ts_fragment_t *fragments;
     uint32_t fragment_count;
     ts_timer_t timer;
-    bool finished;
+    bool is_finished;
 };
 
-/** The stats of a kind; made when first asked for. */
+/** The stats of a kind; created on first use. */
 ts_kind_stats_t *ts_front_kind_stats(ts_front_t *front, const char *kind);
-/** Tells the broker of a node, this one's own included, that a subrequest is not wanted any more.
- */
+/** Sends a cancellation to the broker of a node; `peer` may be TS_PEER_SELF. */
 void ts_front_send_cancel(const ts_front_t *front, uint64_t peer, uint64_t counter);
-/** Looks for silent peers while subrequests are out. */
+/** Checks for silent peers periodically until no attempts are in flight. */
 void ts_front_watch_silence(ts_front_t *front);
 /** Fresh random bits. */
 uint64_t ts_front_random(ts_front_t *front);
 
-/** Plans and sends a new query, which may end it at once. */
+/** Plans and sends a new query; it may finish at once. */
 void ts_query_start(ts_query_t *query);
-/** Takes the reply to one attempt. */
+/** Handles the reply to an attempt, and ends the attempt. */
 void ts_query_take(ts_attempt_t *attempt, ts_subreply_t *subreply);
-/** Frees a query whose node runs no more; nothing is sent and nobody is told. */
+/** Frees a query when the node shuts down; sends nothing and does not call the callback. */
 void ts_query_discard(ts_query_t *query);
-/** Ends a query without telling its caller. */
+/** Ends a query without calling its callback. */
 void ts_query_abandon(ts_query_t *query);
 
-/** A batch of parts that a query sends in one turn, grouped by owner. */
+/** Parts that a query sends in one step, grouped by owner. */
 typedef struct ts_dispatch ts_dispatch_t;
 ts_dispatch_t *ts_dispatch_begin(ts_query_t *query);
 /**
- * Adds one attempt for a fragment at the replica of rank `rank`. Returns TS_OK or
- * TS_E_NO_REPLICA when the back end has no owner.
+ * Adds one attempt for a fragment. Returns TS_OK, or TS_E_NO_REPLICA if the replica's backend has
+ * no owner.
  */
-ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t fragment, uint32_t rank,
+ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t fragment, uint32_t replica_index,
                            uint64_t wanted_snapshot, bool is_hedge);
-/** Sends the batch: one message an owner. */
+/** Sends the parts, one message per owner, and frees the dispatch. */
 void ts_dispatch_send(ts_dispatch_t *dispatch);
-/** Ends an attempt; with `cancel` its broker is told that the work is not wanted any more. */
+/** Ends and frees an attempt; with `cancel` it is also cancelled at its broker. */
 void ts_attempt_end(ts_attempt_t *attempt, bool cancel);
 
-/** Merges the hits of one snapshot and hands the answer to the query's callback. */
+/** Merges the hits of a snapshot and calls the query's callback with the answer. */
 void ts_query_deliver_answer(ts_query_t *query, uint64_t snapshot);
-/** Says in the log why a query ended without an answer. */
+/** Logs why a query ended without an answer. */
 void ts_query_log_unanswered(const ts_query_t *query, ts_outcome_t outcome, ts_error_t error);
-/** Hands a refusal or an unknown outcome to the query's callback. */
+/** Calls the query's callback with outcome refused or unknown. */
 void ts_query_deliver_failure(ts_query_t *query, ts_outcome_t outcome, ts_error_t error,
                               uint64_t snapshot, uint32_t retry_after_ms);
 
--- a/src/front/merge.c
+++ b/src/front/merge.c
@@ -1,4 +1,4 @@
-/** Gathering: merges the hits of one snapshot and words the answer. */
+/** Merges the hits of one snapshot and builds the answer. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -25,7 +25,7 @@
     return NULL;
 }
 
-/* Counts coverage by group from the answers that are in this snapshot. */
+/* Coverage by group, counting the answers from this snapshot. */
 static GArray *count_coverage(const ts_query_t *query, uint64_t snapshot, ts_answer_t *answer)
 {
     GArray *groups = g_array_new(FALSE, TRUE, sizeof(ts_group_coverage_t));
@@ -33,15 +33,16 @@
     for (uint32_t i = 0; i < query->fragment_count; i++) {
         const ts_fragment_t *fragment = &query->fragments[i];
         uint32_t group = query->declarations->shards[fragment->shard].group;
-        if (group != last_group) { /* shards of a group follow one another */
-            ts_group_coverage_t fresh = {query->declarations->groups[group].name, 0, 0};
-            g_array_append_val(groups, fresh);
+        if (group != last_group) { /* the shards of a group are contiguous */
+            ts_group_coverage_t empty = {query->declarations->groups[group].name, 0, 0};
+            g_array_append_val(groups, empty);
             last_group = group;
         }
-        ts_group_coverage_t *row = &g_array_index(groups, ts_group_coverage_t, groups->len - 1);
+        ts_group_coverage_t *coverage =
+            &g_array_index(groups, ts_group_coverage_t, groups->len - 1);
         bool is_covered = snapshot != 0 && find_answer(fragment, snapshot) != NULL;
-        row->shards++;
-        row->covered += is_covered;
+        coverage->shards++;
+        coverage->covered += is_covered;
         answer->covered += is_covered;
     }
     answer->shards = query->fragment_count;
@@ -50,7 +51,7 @@
     return groups;
 }
 
-/* Collects the hits of a snapshot, best first; the array only borrows the texts. */
+/* Hits of a snapshot by descending score; the strings still belong to the fragments. */
 static GArray *collect_hits(const ts_query_t *query, uint64_t snapshot, uint64_t *total)
 {
     GArray *hits = g_array_new(FALSE, FALSE, sizeof(ts_hit_t));
@@ -65,7 +66,7 @@
     return hits;
 }
 
-static void deliver(ts_query_t *query, ts_answer_t *answer)
+static void invoke_callback(ts_query_t *query, ts_answer_t *answer)
 {
     answer->id = query->request.id;
     answer->took_us = ts_clock_now_us() - query->started_us;
@@ -82,7 +83,7 @@
     answer.hits_count = MIN(query->request.limit, hits->len - offset);
     ts_count(TS_COUNTER_ANSWERED, 1);
     ts_count(TS_COUNTER_PARTIAL, answer.covered < answer.shards);
-    deliver(query, &answer);
+    invoke_callback(query, &answer);
     ts_observe_us(TS_HISTOGRAM_QUERY_LATENCY, answer.took_us);
     g_array_free(hits, TRUE);
     g_array_free(groups, TRUE);
@@ -95,6 +96,6 @@
     GArray *groups = count_coverage(query, snapshot, &answer);
     ts_count(outcome == TS_OUTCOME_REFUSED ? TS_COUNTER_REFUSED : TS_COUNTER_UNKNOWN, 1);
     ts_count_error(error);
-    deliver(query, &answer);
+    invoke_callback(query, &answer);
     g_array_free(groups, TRUE);
 }
--- a/src/front/query.c
+++ b/src/front/query.c
@@ -1,6 +1,6 @@
 /**
- * The life of a query. Every event (a reply, the timer) leads to one step: choose the snapshot,
- * decide whether to stop, and if not, send what is due (retries, repeats for the snapshot, hedges).
+ * Execution of a query. Every event (a reply or the timer) runs one step: choose the snapshot, send
+ * due retries, hedges and repeats for the snapshot, and decide whether to stop.
  */
 #include <string.h>
 
@@ -10,11 +10,12 @@
 
 #define CANDIDATES_MAX 64U
 #define RETRY_BACKOFF_US 10000ULL
-#define LEAST_RETRY_AFTER_MS 1000U
-/* Beyond this many samples the measured latencies fade by half. */
+#define RETRY_AFTER_MIN_MS 1000U
+/* At this number of samples the latency histogram decays by half. */
 #define LATENCY_SAMPLES_MAX 8192U
-/* Fewer than TS_ATTEMPTS_MAX: the rest is kept for hedges and for repeats in another snapshot. */
-#define RETRIES_MAX 3U
+/* A fragment with this many attempts is not retried. Below TS_ATTEMPTS_MAX, to leave attempts for
+   hedges and for repeats for another snapshot. */
+#define RETRY_ATTEMPTS_MAX 3U
 
 static void free_query(ts_timer_t *timer)
 {
@@ -32,15 +33,15 @@
 }
 
 /*
- * Cancels what is out and frees the query on the loop's next turn. An unrepeatable request is not
- * cancelled: its owner keeps the outcome for a repeat of the same id.
+ * Cancels the attempts in flight and frees the query in the next loop iteration. An unrepeatable
+ * request is not cancelled: its owner stores the outcome for a repeat of the same id.
  */
 static void end_query(ts_query_t *query)
 {
     bool cancel = !query->work->unrepeatable;
-    query->finished = true;
+    query->is_finished = true;
     for (uint32_t i = 0; i < query->fragment_count; i++) {
-        while (query->fragments[i].attempts_out > 0) {
+        while (query->fragments[i].attempts_in_flight > 0) {
             ts_attempt_end(query->fragments[i].attempts[0], cancel);
         }
     }
@@ -60,9 +61,9 @@
     end_query(query);
 }
 
-/* ---- which snapshot ---- */
+/* ---- snapshot selection ---- */
 
-static bool may_ask_again(const ts_fragment_t *fragment)
+static bool may_send_again(const ts_fragment_t *fragment)
 {
     return fragment->state != TS_FRAGMENT_FAILED && fragment->attempts_made < TS_ATTEMPTS_MAX;
 }
@@ -76,15 +77,16 @@
             versions[i].answered[j] = fragment->answers[j].snapshot;
         }
         memcpy(versions[i].denied, fragment->denied, sizeof(fragment->denied));
-        versions[i].open = fragment->attempts_out > 0 || may_ask_again(fragment);
+        versions[i].open = fragment->attempts_in_flight > 0 || may_send_again(fragment);
     }
     ts_snapshot_choice_t choice = ts_route_choose_snapshot(versions, query->fragment_count);
     g_free(versions);
     return choice;
 }
 
-/* The snapshot that most shards can be had in, by what was last heard of their replicas. */
-static uint64_t guess_snapshot(const ts_query_t *query)
+/* The snapshot available in the most shards, by the latest replies of the first replicas of each.
+ */
+static uint64_t predict_snapshot(const ts_query_t *query)
 {
     ts_shard_versions_t *versions = g_new0(ts_shard_versions_t, query->fragment_count);
     for (uint32_t i = 0; i < query->fragment_count; i++) {
@@ -111,10 +113,10 @@
     return false;
 }
 
-/* ---- which replica ---- */
+/* ---- replica selection ---- */
 
-static uint32_t describe_replicas(const ts_query_t *query, const ts_fragment_t *fragment,
-                                  ts_candidate_t *candidates)
+static uint32_t fill_candidates(const ts_query_t *query, const ts_fragment_t *fragment,
+                                ts_candidate_t *candidates)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     uint32_t count = MIN(fragment->replica_count, CANDIDATES_MAX);
@@ -137,7 +139,7 @@
     ts_candidate_t candidates[CANDIDATES_MAX];
     ts_choice_input_t input = {
         .candidates = candidates,
-        .count = describe_replicas(query, fragment, candidates),
+        .count = fill_candidates(query, fragment, candidates),
         .wanted_snapshot = wanted_snapshot,
         .random = ts_front_random(query->front),
     };
@@ -150,48 +152,48 @@
     fragment->state = fragment->answers_count > 0 ? TS_FRAGMENT_ANSWERED : TS_FRAGMENT_FAILED;
 }
 
-/* Sends one attempt for a fragment; a fragment that cannot be sent fails or waits. */
+/* Sends one attempt for a fragment. If none can be sent, the fragment fails; a hedge is dropped. */
 static void send_fragment(ts_dispatch_t *dispatch, ts_query_t *query, uint32_t index,
                           uint64_t wanted_snapshot, bool is_hedge)
 {
     ts_fragment_t *fragment = &query->fragments[index];
-    int rank = choose_replica(query, fragment, wanted_snapshot);
-    ts_error_t error =
-        rank < 0 ? TS_E_NO_REPLICA
-                 : ts_dispatch_add(dispatch, index, (uint32_t)rank, wanted_snapshot, is_hedge);
+    int replica_index = choose_replica(query, fragment, wanted_snapshot);
+    ts_error_t error = replica_index < 0 ? TS_E_NO_REPLICA
+                                         : ts_dispatch_add(dispatch, index, (uint32_t)replica_index,
+                                                           wanted_snapshot, is_hedge);
     if (error != TS_OK && !is_hedge) {
         fail_fragment(fragment, error);
     }
 }
 
-/* ---- what is due ---- */
+/* ---- hedges, retries and repeats ---- */
 
-static ts_time_us_t hedge_age(const ts_query_t *query)
+static ts_time_us_t hedge_age_us(const ts_query_t *query)
 {
-    ts_hedge_input_t input = {query->selector, &query->stats->latencies, query->span_us};
+    ts_hedge_input_t input = {query->selector, &query->stats->latencies, query->deadline_span_us};
     return query->front->policy->hedge_after_us(&input);
 }
 
 static bool may_hedge(const ts_query_t *query, const ts_fragment_t *fragment)
 {
-    return fragment->state == TS_FRAGMENT_WAITING && fragment->attempts_out == 1 &&
-           !fragment->hedged && fragment->replica_count > 1 &&
+    return fragment->state == TS_FRAGMENT_WAITING && fragment->attempts_in_flight == 1 &&
+           !fragment->is_hedge_decided && fragment->replica_count > 1 &&
            fragment->attempts_made < TS_ATTEMPTS_MAX && !query->work->unrepeatable;
 }
 
 static void send_due_hedges(ts_dispatch_t *dispatch, ts_query_t *query, uint64_t snapshot,
                             ts_time_us_t now_us)
 {
-    ts_time_us_t age = hedge_age(query);
-    if (age == TS_HEDGE_NEVER) {
+    ts_time_us_t age_us = hedge_age_us(query);
+    if (age_us == TS_HEDGE_NEVER) {
         return;
     }
     for (uint32_t i = 0; i < query->fragment_count; i++) {
         ts_fragment_t *fragment = &query->fragments[i];
-        if (!may_hedge(query, fragment) || now_us - fragment->attempts[0]->sent_us < age) {
+        if (!may_hedge(query, fragment) || now_us - fragment->attempts[0]->sent_us < age_us) {
             continue;
         }
-        fragment->hedged = true;
+        fragment->is_hedge_decided = true;
         if (!query->front->policy->unlimited_hedges && !ts_budget_spend(&query->stats->hedges)) {
             ts_count(TS_COUNTER_HEDGES_DENIED, 1);
             continue;
@@ -219,14 +221,14 @@
     }
 }
 
-/* Asks the shards again that answered from another snapshot than the chosen one. */
+/* Queries shards again that have only answered from other snapshots than the chosen one. */
 static void send_snapshot_repeats(ts_dispatch_t *dispatch, ts_query_t *query, uint64_t snapshot)
 {
     for (uint32_t i = 0; i < query->fragment_count; i++) {
         ts_fragment_t *fragment = &query->fragments[i];
         bool is_denied = fragment->denied[0] == snapshot || fragment->denied[1] == snapshot;
-        if (fragment->state != TS_FRAGMENT_ANSWERED || fragment->attempts_out > 0 || is_denied ||
-            has_answer(fragment, snapshot) || !may_ask_again(fragment)) {
+        if (fragment->state != TS_FRAGMENT_ANSWERED || fragment->attempts_in_flight > 0 ||
+            is_denied || has_answer(fragment, snapshot) || !may_send_again(fragment)) {
             continue;
         }
         ts_count(TS_COUNTER_SNAPSHOT_ASKED_AGAIN, 1);
@@ -234,10 +236,10 @@
     }
 }
 
-/* ---- when to stop ---- */
+/* ---- stop conditions ---- */
 
-static ts_stop_input_t describe_wait(const ts_query_t *query, const ts_snapshot_choice_t *choice,
-                                     ts_time_us_t now_us)
+static ts_stop_input_t make_stop_input(const ts_query_t *query, const ts_snapshot_choice_t *choice,
+                                       ts_time_us_t now_us)
 {
     ts_stop_input_t input = {
         .selector = query->selector,
@@ -246,12 +248,12 @@
         .covered = choice->covered,
         .possible = choice->possible,
         .elapsed_us = now_us - query->started_us,
-        .deadline_span_us = query->span_us,
+        .deadline_span_us = query->deadline_span_us,
     };
     return input;
 }
 
-/* The failure that explains a query without enough coverage: the first fragment's own. */
+/* The first fragment with an error, which is reported if the coverage is not reached. */
 static const ts_fragment_t *find_failure(const ts_query_t *query)
 {
     for (uint32_t i = 0; i < query->fragment_count; i++) {
@@ -266,15 +268,16 @@
 {
     for (uint32_t i = 0; i < query->fragment_count; i++) {
         const ts_fragment_t *fragment = &query->fragments[i];
-        if (fragment->ran || fragment->attempts_out > 0 || fragment->answers_count > 0) {
+        if (fragment->may_have_run || fragment->attempts_in_flight > 0 ||
+            fragment->answers_count > 0) {
             return true;
         }
     }
     return false;
 }
 
-/* Whether the error was given by the owner after it looked the id up in its table. */
-static bool is_vouched(ts_error_t error)
+/* Whether the owner returned the error after looking up the id in its idempotency table. */
+static bool is_checked_by_owner(ts_error_t error)
 {
     switch (error) {
     case TS_E_QUEUE_FULL:
@@ -300,19 +303,20 @@
         error = stop == TS_STOP_DEADLINE ? TS_E_DEADLINE : TS_E_COVERAGE;
     }
     uint32_t after_ms = failure != NULL ? failure->retry_after_ms : 0;
-    bool is_unknown = ran || (query->request.repeat && !is_vouched(error));
+    bool is_unknown = ran || (query->request.repeat && !is_checked_by_owner(error));
     ts_outcome_t outcome = is_unknown ? TS_OUTCOME_UNKNOWN : TS_OUTCOME_REFUSED;
     ts_query_log_unanswered(query, outcome, error);
     ts_query_deliver_failure(query, outcome, error, choice->snapshot,
-                             MAX(after_ms, LEAST_RETRY_AFTER_MS));
+                             MAX(after_ms, RETRY_AFTER_MIN_MS));
 }
 
 static void finish_query(ts_query_t *query, const ts_snapshot_choice_t *choice, ts_stop_t stop)
 {
-    uint32_t least = ts_route_min_shards(query->selector, query->fragment_count);
-    bool is_enough = choice->covered > 0 && choice->covered >= least;
+    uint32_t min_shards = ts_route_min_shards(query->selector, query->fragment_count);
+    bool is_enough = choice->covered > 0 && choice->covered >= min_shards;
     const ts_fragment_t *failure = is_enough ? NULL : find_failure(query);
-    ts_shedder_record(&query->stats->pass, failure != NULL && ts_route_is_overload(failure->error));
+    ts_shedder_record(&query->stats->shedder,
+                      failure != NULL && ts_route_is_overload(failure->error));
     if (is_enough) {
         ts_query_deliver_answer(query, choice->snapshot);
     } else {
@@ -321,7 +325,7 @@
     end_query(query);
 }
 
-/* ---- the step ---- */
+/* ---- step ---- */
 
 static void step_query(ts_query_t *query);
 
@@ -330,28 +334,28 @@
     step_query(timer->data);
 }
 
-static ts_time_us_t earliest_event(const ts_query_t *query, const ts_stop_input_t *wait)
+static ts_time_us_t earliest_event(const ts_query_t *query, const ts_stop_input_t *stop_input)
 {
-    ts_time_us_t due = query->started_us + query->span_us;
-    ts_time_us_t stop_check = query->front->policy->stop_check_us(wait);
-    if (stop_check > wait->elapsed_us) {
+    ts_time_us_t due = query->started_us + query->deadline_span_us;
+    ts_time_us_t stop_check = query->front->policy->stop_check_us(stop_input);
+    if (stop_check > stop_input->elapsed_us) {
         due = MIN(due, query->started_us + stop_check);
     }
-    ts_time_us_t age = hedge_age(query);
+    ts_time_us_t age_us = hedge_age_us(query);
     for (uint32_t i = 0; i < query->fragment_count; i++) {
         const ts_fragment_t *fragment = &query->fragments[i];
         if (fragment->state == TS_FRAGMENT_BACKOFF) {
             due = MIN(due, fragment->retry_at_us);
-        } else if (age != TS_HEDGE_NEVER && may_hedge(query, fragment)) {
-            due = MIN(due, fragment->attempts[0]->sent_us + age);
+        } else if (age_us != TS_HEDGE_NEVER && may_hedge(query, fragment)) {
+            due = MIN(due, fragment->attempts[0]->sent_us + age_us);
         }
     }
     return due;
 }
 
-static void arm_timer(ts_query_t *query, const ts_stop_input_t *wait, ts_time_us_t now_us)
+static void arm_timer(ts_query_t *query, const ts_stop_input_t *stop_input, ts_time_us_t now_us)
 {
-    ts_time_us_t due = earliest_event(query, wait);
+    ts_time_us_t due = earliest_event(query, stop_input);
     ts_time_us_t left = due > now_us ? due - now_us : 0;
     /* Rounded up, so that the event is due when the timer fires. */
     ts_timer_start(&query->timer, (left + TS_US_PER_MS - 1) / TS_US_PER_MS, 0);
@@ -369,18 +373,18 @@
     }
     ts_dispatch_send(dispatch);
     choice = choose_snapshot(query);
-    ts_stop_input_t wait = describe_wait(query, &choice, now_us);
-    ts_stop_t stop = query->front->policy->stop(&wait);
+    ts_stop_input_t stop_input = make_stop_input(query, &choice, now_us);
+    ts_stop_t stop = query->front->policy->stop(&stop_input);
     if (stop != TS_STOP_WAIT) {
         finish_query(query, &choice, stop);
         return;
     }
-    arm_timer(query, &wait, now_us);
+    arm_timer(query, &stop_input, now_us);
 }
 
 /* ---- replies ---- */
 
-static void keep_answer(ts_fragment_t *fragment, ts_subreply_t *subreply)
+static void store_answer(ts_fragment_t *fragment, ts_subreply_t *subreply)
 {
     if (has_answer(fragment, subreply->snapshot) ||
         fragment->answers_count == TS_SHARD_ANSWERS_MAX) {
@@ -391,7 +395,7 @@
     subreply->hits_count = 0;
 }
 
-static void note_denial(ts_fragment_t *fragment, uint64_t wanted, uint64_t given)
+static void record_denied_snapshot(ts_fragment_t *fragment, uint64_t wanted, uint64_t given)
 {
     if (wanted == 0 || wanted == given) {
         return;
@@ -403,18 +407,18 @@
     }
 }
 
-static void take_answer(ts_query_t *query, ts_fragment_t *fragment, ts_subreply_t *subreply,
-                        ts_time_us_t latency_us, uint64_t wanted)
+static void handle_answer(ts_query_t *query, ts_fragment_t *fragment, ts_subreply_t *subreply,
+                          ts_time_us_t latency_us, uint64_t wanted)
 {
     if (query->stats->latencies.total >= LATENCY_SAMPLES_MAX) {
         ts_histogram_decay(&query->stats->latencies);
     }
     ts_histogram_add(&query->stats->latencies, latency_us);
     ts_observe_us(TS_HISTOGRAM_SUBREQUEST_LATENCY, latency_us);
-    note_denial(fragment, wanted, subreply->snapshot);
-    keep_answer(fragment, subreply);
+    record_denied_snapshot(fragment, wanted, subreply->snapshot);
+    store_answer(fragment, subreply);
     fragment->state = TS_FRAGMENT_ANSWERED;
-    while (fragment->attempts_out > 0) {
+    while (fragment->attempts_in_flight > 0) {
         ts_attempt_end(fragment->attempts[0], true);
     }
 }
@@ -422,32 +426,34 @@
 static bool may_retry(const ts_query_t *query, const ts_fragment_t *fragment)
 {
     return query->front->policy->retries && !query->work->unrepeatable &&
-           fragment->attempts_made < RETRIES_MAX && fragment->answers_count == 0;
+           fragment->attempts_made < RETRY_ATTEMPTS_MAX && fragment->answers_count == 0;
 }
 
-/* Whether some replica of the fragment has not been asked yet. */
-static bool has_fresh_replica(const ts_fragment_t *fragment)
+/* Whether some replica of the fragment has not been tried yet. */
+static bool has_untried_replica(const ts_fragment_t *fragment)
 {
     uint64_t all =
         fragment->replica_count >= 64 ? UINT64_MAX : (1ULL << fragment->replica_count) - 1;
     return (fragment->tried & all) != all;
 }
 
-static void take_failure(ts_query_t *query, ts_fragment_t *fragment, const ts_subreply_t *subreply)
+static void handle_failure(ts_query_t *query, ts_fragment_t *fragment,
+                           const ts_subreply_t *subreply)
 {
     fragment->error = subreply->error;
     fragment->retry_after_ms = MAX(fragment->retry_after_ms, subreply->retry_after_ms);
-    // an owner that can't vouch has not run it; of a repeat that says nothing (is_vouched)
-    fragment->ran |= subreply->run == TS_RUN_DONE || subreply->run == TS_RUN_MAYBE;
-    if (fragment->attempts_out > 0) {
-        return; /* another attempt is still out */
+    /* TS_RUN_NOT_HERE does not count: this owner has not executed it. An earlier owner may have
+       executed an earlier send of a repeat; see is_checked_by_owner(). */
+    fragment->may_have_run |= subreply->run == TS_RUN_DONE || subreply->run == TS_RUN_MAYBE;
+    if (fragment->attempts_in_flight > 0) {
+        return; /* another attempt is in flight */
     }
     if (!may_retry(query, fragment)) {
         fail_fragment(fragment, subreply->error);
         return;
     }
     fragment->state = TS_FRAGMENT_BACKOFF;
-    ts_time_us_t pause = has_fresh_replica(fragment)
+    ts_time_us_t pause = has_untried_replica(fragment)
                              ? 0
                              : RETRY_BACKOFF_US + ts_front_random(query->front) % RETRY_BACKOFF_US;
     fragment->retry_at_us = ts_clock_now_us() + pause;
@@ -463,14 +469,14 @@
     ts_directory_learn(query->front->directory, attempt->replica, subreply, latency_us, now_us);
     ts_attempt_end(attempt, false);
     if (subreply->error == TS_OK) {
-        take_answer(query, fragment, subreply, latency_us, wanted);
+        handle_answer(query, fragment, subreply, latency_us, wanted);
     } else {
-        take_failure(query, fragment, subreply);
+        handle_failure(query, fragment, subreply);
     }
     step_query(query);
 }
 
-/* ---- the start ---- */
+/* ---- start ---- */
 
 static void plan_fragment(ts_query_t *query, uint32_t index, uint32_t reach_index)
 {
@@ -502,7 +508,7 @@
     ts_timer_init(&query->timer, query->front->node->runtime, on_timer, query);
     ts_budget_credit(&query->stats->hedges, query->selector->hedge_percent, query->fragment_count);
     ts_budget_credit(&query->stats->retries, query->selector->retry_percent, query->fragment_count);
-    uint64_t snapshot = guess_snapshot(query);
+    uint64_t snapshot = predict_snapshot(query);
     ts_dispatch_t *dispatch = ts_dispatch_begin(query);
     for (uint32_t i = 0; i < query->fragment_count; i++) {
         send_fragment(dispatch, query, i, snapshot, false);
--- a/src/front/query_log.c
+++ b/src/front/query_log.c
@@ -1,4 +1,4 @@
-/** Log lines for queries that ended without an answer. */
+/** Logging of queries that ended without an answer. */
 #include <inttypes.h>
 
 #include "front_internal.h"
@@ -6,14 +6,14 @@
 
 #define NAME_SIZE 64
 
-/* The fragment that kept the query from an answer: one whose outcome is open, else one that failed.
- */
+/* The fragment that prevented an answer: the first with attempts in flight, else the first that
+   failed. */
 static const ts_fragment_t *find_cause(const ts_query_t *query)
 {
     const ts_fragment_t *failed = NULL;
     for (uint32_t i = 0; i < query->fragment_count; i++) {
         const ts_fragment_t *fragment = &query->fragments[i];
-        if (fragment->attempts_out > 0)
+        if (fragment->attempts_in_flight > 0)
             return fragment;
         if (failed == NULL && fragment->error != TS_OK)
             failed = fragment;
@@ -21,7 +21,7 @@
     return failed;
 }
 
-/* A node that has left the view is named by its id. */
+/* Writes the name of a node, or its id if it is no longer in the view. */
 static void name_node(const ts_query_t *query, uint64_t peer, char *name)
 {
     const ts_view_t *view = ts_directory_view(query->front->directory);
@@ -38,16 +38,16 @@
     ts_event_t event = is_unknown ? TS_EVENT_QUERY_UNKNOWN : TS_EVENT_QUERY_REFUSED;
     const ts_fragment_t *cause = find_cause(query);
     char node[NAME_SIZE] = "-";
-    uint64_t out_us = 0;
+    uint64_t age_us = 0;
     if (!ts_log_is_wanted(event))
         return;
     if (cause != NULL && cause->attempts_made > 0)
-        name_node(query, cause->asked, node);
-    if (cause != NULL && cause->attempts_out > 0)
-        out_us = ts_clock_now_us() - cause->attempts[0]->sent_us;
+        name_node(query, cause->last_peer, node);
+    if (cause != NULL && cause->attempts_in_flight > 0)
+        age_us = ts_clock_now_us() - cause->attempts[0]->sent_us;
     ts_log(event, "id=%s kind=%s error=%s repeat=%d asked=%s attempts=%u out=%u out_ms=%" PRIu64,
            query->request.id == NULL ? "-" : query->request.id, query->request.kind,
            ts_error_name(error), query->request.repeat, node,
-           cause == NULL ? 0 : cause->attempts_made, cause == NULL ? 0 : cause->attempts_out,
-           (uint64_t)(out_us / TS_US_PER_MS));
+           cause == NULL ? 0 : cause->attempts_made, cause == NULL ? 0 : cause->attempts_in_flight,
+           (uint64_t)(age_us / TS_US_PER_MS));
 }
--- a/tests/front/test_caller_http.c
+++ b/tests/front/test_caller_http.c
@@ -1,4 +1,5 @@
-/** The callers' address of a real node under hostile and clumsy callers. */
+/** Robustness of the query API of a real node: malformed, oversized, slow and pipelined requests.
+ */
 #include "../test_support.h"
 
 #include <arpa/inet.h>
@@ -12,15 +13,15 @@
 #include <unistd.h>
 
 #define CALLERS_PORT 20001
-#define WAIT_MS 20000
+#define TIMEOUT_MS 20000
 #define REPLY_SIZE 8192
-#define FLOOD 200
+#define SLOW_CALLERS 200
 
 static char host[32];
 static pid_t node;
 static char *folder;
 
-/* ---- a node of its own, on a loopback network of its own ---- */
+/* ---- a node on its own loopback address ---- */
 
 static char *program_path(void)
 {
@@ -61,7 +62,7 @@
         execl(program, program, "node", "--settings", settings, (char *)NULL);
         _exit(127);
     }
-    for (int waited = 0; waited < WAIT_MS; waited += 20) {
+    for (int elapsed_ms = 0; elapsed_ms < TIMEOUT_MS; elapsed_ms += 20) {
         int fd = connect_caller();
         if (fd >= 0) {
             close(fd);
@@ -83,16 +84,17 @@
     return WIFEXITED(status) && WEXITSTATUS(status) == 0 ? 0 : -1;
 }
 
-/* ---- talking ---- */
+/* ---- requests ---- */
 
-/* Reads until `wanted` stands in the reply, the peer closes, or the wait is over. */
-static void read_reply(int fd, char *reply, const char *wanted)
+/* Reads until the reply contains `expected`, the node closes the connection, or nothing arrives for
+   TIMEOUT_MS. */
+static void read_reply(int fd, char *reply, const char *expected)
 {
     size_t length = 0;
-    struct pollfd item = {.fd = fd, .events = POLLIN};
+    struct pollfd poll_fd = {.fd = fd, .events = POLLIN};
     reply[0] = '\0';
-    while (length < REPLY_SIZE - 1 && strstr(reply, wanted) == NULL &&
-           poll(&item, 1, WAIT_MS) > 0) {
+    while (length < REPLY_SIZE - 1 && strstr(reply, expected) == NULL &&
+           poll(&poll_fd, 1, TIMEOUT_MS) > 0) {
         ssize_t got = read(fd, reply + length, REPLY_SIZE - 1 - length);
         if (got <= 0) {
             break;
@@ -102,15 +104,15 @@
     }
 }
 
-static void expect(const char *request, size_t length, const char *wanted)
+static void expect(const char *request, size_t length, const char *expected)
 {
     char reply[REPLY_SIZE];
     int fd = connect_caller();
     assert_true(fd >= 0);
     (void)!write(fd, request, length);
-    read_reply(fd, reply, wanted);
-    if (strstr(reply, wanted) == NULL) {
-        fail_msg("wanted '%s', got '%s'", wanted, reply);
+    read_reply(fd, reply, expected);
+    if (strstr(reply, expected) == NULL) {
+        fail_msg("wanted '%s', got '%s'", expected, reply);
     }
     close(fd);
 }
@@ -121,10 +123,10 @@
                            strlen(body), body);
 }
 
-static void expect_post(const char *path, const char *body, const char *wanted)
+static void expect_post(const char *path, const char *body, const char *expected)
 {
     char *request = make_post(path, body);
-    expect(request, strlen(request), wanted);
+    expect(request, strlen(request), expected);
     g_free(request);
 }
 
@@ -156,7 +158,7 @@
     expect_alive();
 }
 
-static void test_garbage_harms_nobody(void **state)
+static void test_garbage_does_not_affect_other_callers(void **state)
 {
     GRand *random = g_rand_new_with_seed(5);
     for (int i = 0; i < 200; i++) {
@@ -177,7 +179,7 @@
     expect_alive();
 }
 
-static void test_long_headers_are_cut_off(void **state)
+static void test_long_headers_are_refused(void **state)
 {
     char *value = g_strnfill(300000, 'h');
     char *request =
@@ -193,21 +195,21 @@
     expect_alive();
 }
 
-static void test_slow_callers_hold_up_nobody(void **state)
+static void test_slow_callers_do_not_block_others(void **state)
 {
-    int slow[FLOOD];
+    int slow[SLOW_CALLERS];
     const char *begin =
         "POST /v1/query HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{\"kind\"";
-    for (int i = 0; i < FLOOD; i++) {
+    for (int i = 0; i < SLOW_CALLERS; i++) {
         slow[i] = connect_caller();
         assert_true(slow[i] >= 0);
         (void)!write(slow[i], begin, strlen(begin));
     }
     expect_alive();
     char reply[REPLY_SIZE];
-    read_reply(slow[0], reply, "never"); /* the node closes it when its time is over */
+    read_reply(slow[0], reply, "never"); /* the node closes it after its request timeout */
     assert_null(strstr(reply, "200"));
-    for (int i = 0; i < FLOOD; i++) {
+    for (int i = 0; i < SLOW_CALLERS; i++) {
         close(slow[i]);
     }
     expect_alive();
@@ -238,9 +240,9 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_refusals_are_typed),
         cmocka_unit_test(test_large_bodies_are_refused),
-        cmocka_unit_test(test_garbage_harms_nobody),
-        cmocka_unit_test(test_long_headers_are_cut_off),
-        cmocka_unit_test(test_slow_callers_hold_up_nobody),
+        cmocka_unit_test(test_garbage_does_not_affect_other_callers),
+        cmocka_unit_test(test_long_headers_are_refused),
+        cmocka_unit_test(test_slow_callers_do_not_block_others),
         cmocka_unit_test(test_pipelined_requests_are_answered_in_order),
     };
     return cmocka_run_group_tests(tests, start_node, stop_node);
--- a/tests/front/test_caller_json.c
+++ b/tests/front/test_caller_json.c
@@ -1,4 +1,4 @@
-/** The callers' JSON: what is read, what is refused. */
+/** Requests and answers as JSON. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -12,7 +12,7 @@
     return ts_caller_json_read(text, strlen(text), request, &detail);
 }
 
-static void clear(ts_query_request_t *request)
+static void clear_request(ts_query_request_t *request)
 {
     g_free(request->id);
     g_free(request->kind);
@@ -35,7 +35,7 @@
     assert_true(request.unrepeatable);
     assert_true(request.repeat);
     assert_int_equal(request.issued_at_ms, 99);
-    clear(&request);
+    clear_request(&request);
 }
 
 static void test_refuses_bad_bodies(void **state)
@@ -80,7 +80,7 @@
     g_string_free(text, TRUE);
 }
 
-static void test_words_the_outcomes(void **state)
+static void test_writes_outcomes(void **state)
 {
     ts_answer_t refused = {.id = "i", .outcome = TS_OUTCOME_REFUSED, .error = TS_E_OVERLOAD};
     char *text = ts_caller_json_write(&refused, NULL);
@@ -100,7 +100,7 @@
         cmocka_unit_test(test_reads_all_keys),
         cmocka_unit_test(test_refuses_bad_bodies),
         cmocka_unit_test(test_refuses_deep_nesting),
-        cmocka_unit_test(test_words_the_outcomes),
+        cmocka_unit_test(test_writes_outcomes),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/front/test_front.c
+++ b/tests/front/test_front.c
@@ -1,5 +1,5 @@
-/** The front in the simulator: what a caller's leaving cancels, and what slow searchers do not
- * cause. */
+/** The front in the simulator: cancellation of subrequests, and slow searchers that must not make a
+ * node count as silent. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -32,7 +32,7 @@
 
 static lab_sim_t *start_sim(const char *declarations)
 {
-    static const lab_sim_observer_t nobody = {0};
+    static const lab_sim_observer_t no_observer = {0};
     lab_sim_config_t config = {.declarations = declarations,
                                .nodes_per_zone = 1,
                                .policy = "adaptive",
@@ -40,7 +40,7 @@
                                .zone_ms = 1,
                                .service = {SERVICE_MS, 0.0, 0, {1, 1}},
                                .seed = 1};
-    lab_sim_t *sim = lab_sim_create(&config, &nobody);
+    lab_sim_t *sim = lab_sim_create(&config, &no_observer);
     lab_sim_run(sim, SETTLE_US);
     lab_sim_reset_totals(sim);
     return sim;
@@ -60,7 +60,7 @@
     return ts_front_submit(lab_sim_front(sim, 0), &request, count_answer, answers);
 }
 
-static void test_an_abandoned_query_is_cancelled_everywhere(void **state)
+static void test_abandoned_query_is_cancelled_at_all_owners(void **state)
 {
     char *declarations = make_declarations();
     lab_sim_t *sim = start_sim(declarations);
@@ -74,13 +74,14 @@
     lab_sim_totals(sim, &work_us, &requests);
     assert_int_equal(answers, 0);
     assert_int_equal(requests, SHARDS);
-    assert_true(work_us < SHARDS * 60.0 * (double)TS_US_PER_MS); /* of 300 ms each */
+    assert_true(work_us < SHARDS * 60.0 * (double)TS_US_PER_MS); /* 300 ms each if not cancelled */
     lab_sim_destroy(sim);
     g_free(declarations);
 }
 
-/* Once doubled all work: a node whose searchers take 300 ms was taken for a silent one. */
-static void test_slow_searchers_are_no_silent_node(void **state)
+/* A node with searchers that take 300 ms must not count as silent: all of its subrequests would be
+   sent a second time. */
+static void test_slow_searchers_do_not_make_node_silent(void **state)
 {
     char *declarations = make_declarations();
     lab_sim_t *sim = start_sim(declarations);
@@ -96,16 +97,17 @@
     g_free(declarations);
 }
 
-/* Makes the searchers of the first zone so slow that they answer nothing in time. */
+/* Makes the searchers of the first zone too slow to answer before the deadline. */
 static void slow_down_first_zone(lab_sim_t *sim)
 {
     for (unsigned shard = 0; shard < SHARDS; shard++)
         lab_sim_slow_searcher(sim, shard * 2, 100);
 }
 
-// What is given up at the node's own broker is cancelled there (beside load, frames_lost
-// reason=unknown_peer: the cancels went to the mesh, and the work went on to its deadline).
-static void test_silence_of_the_own_broker_cancels_its_work(void **state)
+// Attempts that fail because the node's own broker is silent must be cancelled at that broker. If
+// the cancels are sent to the mesh instead, it drops them (frames_lost reason=unknown_peer) and the
+// searchers work on until the deadline.
+static void test_silence_of_own_broker_cancels_its_jobs(void **state)
 {
     char *declarations = make_declarations();
     lab_sim_t *sim = start_sim(declarations);
@@ -118,7 +120,7 @@
     lab_sim_totals(sim, &work_us, &requests);
     assert_int_equal(answers, 1);
     assert_true(requests > SHARDS);
-    assert_true(work_us < SHARDS * (double)TS_US_PER_S); /* of 4 s each to the deadline */
+    assert_true(work_us < SHARDS * (double)TS_US_PER_S); /* 4 s each if they run to the deadline */
     lab_sim_destroy(sim);
     g_free(declarations);
 }
@@ -126,9 +128,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_an_abandoned_query_is_cancelled_everywhere),
-        cmocka_unit_test(test_slow_searchers_are_no_silent_node),
-        cmocka_unit_test(test_silence_of_the_own_broker_cancels_its_work),
+        cmocka_unit_test(test_abandoned_query_is_cancelled_at_all_owners),
+        cmocka_unit_test(test_slow_searchers_do_not_make_node_silent),
+        cmocka_unit_test(test_silence_of_own_broker_cancels_its_jobs),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/front/test_planned_stop.c
+++ b/tests/front/test_planned_stop.c
@@ -1,5 +1,4 @@
-/** Unrepeatable requests while the owners of their back ends are stopped by plan; in the simulator.
- */
+/** Unrepeatable requests during planned stops of the owners of their backends, in the simulator. */
 #include "../test_support.h"
 
 #include <inttypes.h>
@@ -11,16 +10,17 @@
 #define NODES (ZONES * NODES_PER_ZONE)
 #define BACKENDS_PER_ZONE 8U
 #define SETTLE_US (20ULL * TS_US_PER_S)
-#define DENSE_US (2ULL * TS_US_PER_MS)
-#define SPARSE_US (60ULL * TS_US_PER_MS)
-/* Load around the end of the process, which serves its back ends for 1.5 s more. */
-#define SERVING_US (1300ULL * TS_US_PER_MS)
-#define ENDING_US (900ULL * TS_US_PER_MS)
+#define DENSE_INTERVAL_US (2ULL * TS_US_PER_MS)
+#define SPARSE_INTERVAL_US (60ULL * TS_US_PER_MS)
+/* Requests are sent from 1.3 s to 2.2 s after the stop: around the end of the process, which serves
+   its backends for another 1.5 s. */
+#define LOAD_DELAY_US (1300ULL * TS_US_PER_MS)
+#define LOAD_SPAN_US (900ULL * TS_US_PER_MS)
 
 typedef struct load {
     double network_ms; /* one way, without the jitter */
     double jitter;
-    ts_time_us_t step_us; /* between two requests to one node */
+    ts_time_us_t interval_us; /* between two requests to one node */
     unsigned seeds;
 } load_t;
 
@@ -28,7 +28,7 @@
     unsigned answered;
     unsigned refused;
     unsigned unknown;
-    ts_error_t error; /* of the last unknown one */
+    ts_error_t error; /* of the last unknown outcome */
 } outcomes_t;
 
 static char *make_declarations(void)
@@ -60,8 +60,7 @@
     }
 }
 
-/* Puts one request to each node that is not told to stop; requests of a caller are never repeated.
- */
+/* Submits one request, each with a new id, to every running node except the one being stopped. */
 static void submit_round(lab_sim_t *sim, unsigned stopping, unsigned *number, outcomes_t *outcomes)
 {
     for (unsigned node = 0; node < NODES; node++) {
@@ -77,18 +76,18 @@
     }
 }
 
-static void put_load(lab_sim_t *sim, const load_t *load, unsigned stopping, unsigned *number,
+static void run_load(lab_sim_t *sim, const load_t *load, unsigned stopping, unsigned *number,
                      outcomes_t *outcomes)
 {
-    for (ts_time_us_t passed = 0; passed < ENDING_US; passed += load->step_us) {
+    for (ts_time_us_t elapsed_us = 0; elapsed_us < LOAD_SPAN_US; elapsed_us += load->interval_us) {
         submit_round(sim, stopping, number, outcomes);
-        lab_sim_run(sim, load->step_us);
+        lab_sim_run(sim, load->interval_us);
     }
 }
 
-static outcomes_t stop_and_start(const char *declarations, uint64_t seed, const load_t *load)
+static outcomes_t stop_each_node(const char *declarations, uint64_t seed, const load_t *load)
 {
-    static const lab_sim_observer_t nobody = {0};
+    static const lab_sim_observer_t no_observer = {0};
     lab_sim_config_t config = {.declarations = declarations,
                                .nodes_per_zone = NODES_PER_ZONE,
                                .policy = "adaptive",
@@ -97,14 +96,14 @@
                                .jitter = load->jitter,
                                .service = {5, 0.2, 0, {1, 1}},
                                .seed = seed};
-    lab_sim_t *sim = lab_sim_create(&config, &nobody);
+    lab_sim_t *sim = lab_sim_create(&config, &no_observer);
     outcomes_t outcomes = {0};
     unsigned number = 0;
     for (unsigned stopping = 0; stopping < NODES; stopping++) {
         lab_sim_run(sim, SETTLE_US);
         lab_sim_stop(sim, stopping);
-        lab_sim_run(sim, SERVING_US);
-        put_load(sim, load, stopping, &number, &outcomes);
+        lab_sim_run(sim, LOAD_DELAY_US);
+        run_load(sim, load, stopping, &number, &outcomes);
         lab_sim_run(sim, SETTLE_US);
         lab_sim_start(sim, stopping);
     }
@@ -119,7 +118,7 @@
     char *declarations = make_declarations();
     unsigned unknown = 0;
     for (uint64_t seed = 1; seed <= load->seeds; seed++) {
-        outcomes_t outcomes = stop_and_start(declarations, seed, load);
+        outcomes_t outcomes = stop_each_node(declarations, seed, load);
         if (outcomes.unknown > 0)
             print_message("seed %" PRIu64 ": %u answered, %u refused, %u unknown (%s)\n", seed,
                           outcomes.answered, outcomes.refused, outcomes.unknown,
@@ -130,34 +129,34 @@
     assert_int_equal(unknown, 0);
 }
 
-// A planned stop leaves no request in doubt (rolling-stop beside load: the owner ended while fronts
-// that had not heard of its leaving still asked it).
-static void test_planned_stop_leaves_no_doubt(void **state)
+// A planned stop must not cause outcome "unknown". This happened in rolling stops under load: the
+// owner ended while fronts that did not know of its leaving were still sending to it.
+static void test_planned_stop_has_no_unknown_outcome(void **state)
 {
-    static const load_t load = {0.3, 0.2, DENSE_US, 5};
+    static const load_t load = {0.3, 0.2, DENSE_INTERVAL_US, 5};
     check_stops(&load);
 }
 
-// The same while messages take up to 120 ms, as on machines without idle processors.
-static void test_planned_stop_on_a_slow_network_leaves_no_doubt(void **state)
+// The same with messages that take up to 120 ms, as on machines with saturated CPUs.
+static void test_planned_stop_on_slow_network_has_no_unknown_outcome(void **state)
 {
-    static const load_t load = {5, 23, DENSE_US, 10};
+    static const load_t load = {5, 23, DENSE_INTERVAL_US, 10};
     check_stops(&load);
 }
 
-// The same with so few requests that a node which is asked for nothing may still be thought live.
-static void test_planned_stop_with_few_requests_leaves_no_doubt(void **state)
+// The same with so few requests that a node that gets none may still be considered live.
+static void test_planned_stop_with_few_requests_has_no_unknown_outcome(void **state)
 {
-    static const load_t load = {5, 23, SPARSE_US, 100};
+    static const load_t load = {5, 23, SPARSE_INTERVAL_US, 100};
     check_stops(&load);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_planned_stop_leaves_no_doubt),
-        cmocka_unit_test(test_planned_stop_on_a_slow_network_leaves_no_doubt),
-        cmocka_unit_test(test_planned_stop_with_few_requests_leaves_no_doubt),
+        cmocka_unit_test(test_planned_stop_has_no_unknown_outcome),
+        cmocka_unit_test(test_planned_stop_on_slow_network_has_no_unknown_outcome),
+        cmocka_unit_test(test_planned_stop_with_few_requests_has_no_unknown_outcome),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
