--- a/include/tealspar/directory.h
+++ b/include/tealspar/directory.h
@@ -33,11 +33,13 @@
 /** The current view, or NULL. */
 const ts_view_t *ts_directory_view(const ts_directory_t *directory);
 /** The record of a backend; created on first use. */
-ts_replica_t *ts_directory_replica(ts_directory_t *directory, const ts_backend_t *backend);
+ts_replica_t *ts_directory_ensure_replica(ts_directory_t *directory, const ts_backend_t *backend);
 /** The owner of a backend, or NULL if there is no view or no eligible member. */
 const ts_view_member_t *ts_directory_owner(ts_directory_t *directory, const ts_backend_t *backend);
-/** Records a reply: load, service time and snapshot, or a failure of the backend, which is then
- * avoided for a time. */
+/**
+ * Records a reply: load, service time and snapshot, or a failure of the backend, which is then
+ * avoided for a time.
+ */
 void ts_directory_learn(ts_directory_t *directory, ts_replica_t *replica,
                         const ts_subreply_t *subreply, ts_time_us_t latency_us,
                         ts_time_us_t now_us);
@@ -53,16 +55,19 @@
  * or without a reply.
  */
 void ts_directory_note_sent(ts_directory_t *directory, uint64_t peer, ts_time_us_t now_us);
-void ts_directory_note_heard(ts_directory_t *directory, uint64_t peer);
+void ts_directory_note_reply(ts_directory_t *directory, uint64_t peer);
 void ts_directory_note_ended(ts_directory_t *directory, uint64_t peer);
 /**
  * Peers that have become silent since the last call: several subrequests are outstanding and no
  * reply has arrived for `timeout_us`. Returns an array of uint64_t, freed by the caller.
  */
-GArray *ts_directory_find_silent(ts_directory_t *directory, ts_time_us_t timeout_us,
-                                 ts_time_us_t now_us);
-/** Fills in the state of a backend, except `backend`; `tried` is set to false. */
-void ts_directory_describe(ts_directory_t *directory, const ts_backend_t *backend,
-                           ts_time_us_t now_us, ts_candidate_t *candidate);
+GArray *ts_directory_find_silent_peers(ts_directory_t *directory, ts_time_us_t timeout_us,
+                                       ts_time_us_t now_us);
+/**
+ * Fills in a candidate except its field `backend`; `tried` is set to false. A silent owner is
+ * avoided, except by one call per probe interval.
+ */
+void ts_directory_fill_candidate(ts_directory_t *directory, const ts_backend_t *backend,
+                                 ts_time_us_t now_us, ts_candidate_t *candidate);
 
 #endif
--- a/lab/planted/planted.c
+++ b/lab/planted/planted.c
@@ -22,21 +22,21 @@
 }
 
 /* "idempotency": an id that was dispatched is dispatched again. */
-ts_idempotency_verdict_t __real_ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
-                                                     ts_time_us_t now_us);
-ts_idempotency_verdict_t __wrap_ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
-                                                     ts_time_us_t now_us)
+ts_idempotency_decision_t __real_ts_idempotency_admit(ts_idempotency_t *table,
+                                                      const ts_work_t *work, ts_time_us_t now_us);
+ts_idempotency_decision_t __wrap_ts_idempotency_admit(ts_idempotency_t *table,
+                                                      const ts_work_t *work, ts_time_us_t now_us)
 {
-    ts_idempotency_verdict_t verdict = __real_ts_idempotency_admit(table, work, now_us);
+    ts_idempotency_decision_t verdict = __real_ts_idempotency_admit(table, work, now_us);
     return is_planted("idempotency") ? TS_IDEMPOTENCY_RUN : verdict;
 }
 
 /* "fence": a new owner vouches for ids that an earlier owner may have dispatched. */
 /* "foreign": a node of another zone vouches while the zone's own nodes are only cut off. */
-ts_owned_t *__real_ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend);
-ts_owned_t *__wrap_ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend)
+ts_owned_backend_t *__real_ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend);
+ts_owned_backend_t *__wrap_ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend)
 {
-    ts_owned_t *owned = __real_ts_owned_create(broker, backend);
+    ts_owned_backend_t *owned = __real_ts_owned_create(broker, backend);
     if (is_planted("fence")) {
         owned->owned_since_ms = 0;
     }
@@ -56,8 +56,8 @@
 }
 
 /* "drained": work goes to a back end that has said that it drains. */
-void __real_ts_owned_submit(ts_owned_t *owned, ts_job_t *job);
-void __wrap_ts_owned_submit(ts_owned_t *owned, ts_job_t *job)
+void __real_ts_owned_submit(ts_owned_backend_t *owned, ts_job_t *job);
+void __wrap_ts_owned_submit(ts_owned_backend_t *owned, ts_job_t *job)
 {
     if (is_planted("drained")) {
         owned->state = TS_OWNED_SERVING;
@@ -67,8 +67,8 @@
 }
 
 /* "stall": a process that stood still goes on with what it believed before. */
-void __real_ts_owned_recheck(ts_owned_t *owned);
-void __wrap_ts_owned_recheck(ts_owned_t *owned)
+void __real_ts_owned_recheck(ts_owned_backend_t *owned);
+void __wrap_ts_owned_recheck(ts_owned_backend_t *owned)
 {
     if (!is_planted("stall")) {
         __real_ts_owned_recheck(owned);
--- a/src/broker/broker.c
+++ b/src/broker/broker.c
@@ -240,7 +240,7 @@
 
 /* ---- ownership ---- */
 
-static void release_backend(ts_owned_t *owned)
+static void release_backend(ts_owned_backend_t *owned)
 {
     ts_broker_t *broker = owned->broker;
     ts_log(TS_EVENT_OWNERSHIP, "released %s", owned->name);
@@ -250,7 +250,7 @@
 }
 
 /* Whether the declaration of an owned backend has changed so that it has to be created again. */
-static bool is_redeclared(const ts_owned_t *owned, const ts_backend_t *backend)
+static bool is_redeclared(const ts_owned_backend_t *owned, const ts_backend_t *backend)
 {
     bool same_shards = g_strv_length(owned->shards) == backend->shards_count;
     for (unsigned i = 0; same_shards && i < backend->shards_count; i++) {
@@ -275,7 +275,7 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, broker->owned);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ts_owned_t *owned = value;
+        ts_owned_backend_t *owned = value;
         const ts_backend_t *backend = g_hash_table_lookup(wanted, &owned->id);
         if (backend == NULL || is_redeclared(owned, backend)) {
             release_backend(owned);
@@ -295,7 +295,7 @@
         if (g_hash_table_contains(broker->owned, &backend->id)) {
             continue;
         }
-        ts_owned_t *owned = ts_owned_create(broker, backend);
+        ts_owned_backend_t *owned = ts_owned_create(broker, backend);
         const int64_t *since_ms = g_hash_table_lookup(since, &backend->id);
         if (since_ms != NULL) {
             owned->owned_since_ms = *since_ms;
@@ -402,7 +402,7 @@
         ts_owned_tick(value, now_us);
     }
     for (guint i = broker->retired->len; i > 0; i--) {
-        ts_owned_t *owned = g_ptr_array_index(broker->retired, i - 1);
+        ts_owned_backend_t *owned = g_ptr_array_index(broker->retired, i - 1);
         ts_owned_tick(owned, now_us);
         if (owned->running->len == 0 && !owned->is_health_pending) {
             g_ptr_array_remove_index_fast(broker->retired, i - 1);
@@ -508,7 +508,7 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, broker->owned);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const ts_owned_t *owned = value;
+        const ts_owned_backend_t *owned = value;
         json_array_append_new(
             rows, json_pack("{s:s, s:s, s:i, s:i, s:i, s:i, s:f}", "name", owned->name, "state",
                             ts_owned_state_name(owned->state), "slots", (int)owned->slots,
--- a/src/broker/broker_internal.h
+++ b/src/broker/broker_internal.h
@@ -7,13 +7,13 @@
 #include "tealspar/searcher_client.h"
 
 typedef struct ts_broker ts_broker_t;
-typedef struct ts_owned ts_owned_t;
+typedef struct ts_owned_backend ts_owned_backend_t;
 
 /** One subrequest at the broker. */
 typedef struct ts_job {
     ts_broker_t *broker;
-    ts_owned_t *owned; /**< NULL: the backend is not owned here */
-    uint64_t peer;     /**< node that sent it and gets the reply */
+    ts_owned_backend_t *owned; /**< NULL: the backend is not owned here */
+    uint64_t peer;             /**< node that sent it and gets the reply */
     ts_part_t part;
     ts_work_t *work;
     ts_searcher_call_t *call; /**< set while running */
@@ -32,7 +32,7 @@
 } ts_owned_state_t;
 
 /** A backend that this node owns: its connections, slots and queue. */
-struct ts_owned {
+struct ts_owned_backend {
     ts_broker_t *broker;
     uint64_t id;
     char *name;
@@ -65,8 +65,8 @@
     ts_task_t *membership;
     ts_declarations_t *declarations;
     ts_view_t *view;
-    GHashTable *owned;  /**< &id -> ts_owned_t */
-    GPtrArray *retired; /**< of ts_owned_t, waiting for their running jobs */
+    GHashTable *owned;  /**< &id -> ts_owned_backend_t */
+    GPtrArray *retired; /**< of ts_owned_backend_t, waiting for their running jobs */
     GHashTable *jobs;   /**< &counter -> ts_job_t, owned */
     ts_idempotency_t *idempotency;
     ts_timer_t tick_timer;
@@ -82,26 +82,26 @@
 };
 
 /** Creates an owned backend and checks its health. */
-ts_owned_t *ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend);
+ts_owned_backend_t *ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend);
 /** Closes and frees a backend without running jobs. */
-void ts_owned_free(ts_owned_t *owned);
+void ts_owned_free(ts_owned_backend_t *owned);
 /** The only place that changes the state. Does nothing once retired. */
-void ts_owned_set_state(ts_owned_t *owned, ts_owned_state_t state);
+void ts_owned_set_state(ts_owned_backend_t *owned, ts_owned_state_t state);
 /** After a process stall: starts no job until the health has been checked again. */
-void ts_owned_recheck(ts_owned_t *owned);
+void ts_owned_recheck(ts_owned_backend_t *owned);
 /** Runs, queues or refuses a job. */
-void ts_owned_submit(ts_owned_t *owned, ts_job_t *job);
+void ts_owned_submit(ts_owned_backend_t *owned, ts_job_t *job);
 /**
  * Cancels a running or waiting job without a reply and frees its slot at once. A running
  * unrepeatable job is not cancelled: its outcome is kept for a repeat.
  */
 void ts_owned_cancel(ts_job_t *job);
 /** Refuses every waiting job with `error`. */
-void ts_owned_refuse_waiting(ts_owned_t *owned, ts_error_t error);
+void ts_owned_refuse_waiting(ts_owned_backend_t *owned, ts_error_t error);
 /** Ends jobs whose deadline has passed, starts waiting jobs, and checks the health when due. */
-void ts_owned_tick(ts_owned_t *owned, ts_time_us_t now_us);
+void ts_owned_tick(ts_owned_backend_t *owned, ts_time_us_t now_us);
 /** Name of the shard if the backend serves it by its declaration, else NULL. */
-const char *ts_owned_find_shard(const ts_owned_t *owned, uint64_t shard);
+const char *ts_owned_find_shard(const ts_owned_backend_t *owned, uint64_t shard);
 const char *ts_owned_state_name(ts_owned_state_t state);
 
 /** Replies to a job and frees it. */
--- a/src/broker/idempotency.c
+++ b/src/broker/idempotency.c
@@ -45,8 +45,8 @@
     return ts_hash_mix(digest, ts_hash_text(work->text == NULL ? "" : work->text));
 }
 
-ts_idempotency_verdict_t ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
-                                              ts_time_us_t now_us)
+ts_idempotency_decision_t ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
+                                               ts_time_us_t now_us)
 {
     entry_t *entry = g_hash_table_lookup(table->entries, work->request_id);
     uint64_t digest = digest_work(work);
--- a/src/broker/owned.c
+++ b/src/broker/owned.c
@@ -17,7 +17,7 @@
    still holds its own. */
 #define CONNECTION_DIVISOR 2U
 
-static void check_health(ts_owned_t *owned);
+static void check_health(ts_owned_backend_t *owned);
 
 const char *ts_owned_state_name(ts_owned_state_t state)
 {
@@ -26,9 +26,9 @@
     return names[state];
 }
 
-ts_owned_t *ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend)
+ts_owned_backend_t *ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend)
 {
-    ts_owned_t *owned = g_new0(ts_owned_t, 1);
+    ts_owned_backend_t *owned = g_new0(ts_owned_backend_t, 1);
     owned->broker = broker;
     owned->id = backend->id;
     owned->name = g_strdup(backend->name);
@@ -49,7 +49,7 @@
     return owned;
 }
 
-void ts_owned_free(ts_owned_t *owned)
+void ts_owned_free(ts_owned_backend_t *owned)
 {
     owned->broker->client->close(owned->searcher);
     g_ptr_array_free(owned->running, TRUE);
@@ -60,7 +60,7 @@
     g_free(owned);
 }
 
-void ts_owned_set_state(ts_owned_t *owned, ts_owned_state_t state)
+void ts_owned_set_state(ts_owned_backend_t *owned, ts_owned_state_t state)
 {
     if (owned->state == state || owned->state == TS_OWNED_RETIRED) {
         return;
@@ -81,7 +81,7 @@
     }
 }
 
-const char *ts_owned_find_shard(const ts_owned_t *owned, uint64_t shard)
+const char *ts_owned_find_shard(const ts_owned_backend_t *owned, uint64_t shard)
 {
     for (char **name = owned->shards; *name != NULL; name++) {
         if (ts_hash_text(*name) == shard) {
@@ -91,7 +91,7 @@
     return NULL;
 }
 
-static uint32_t count_kind(const ts_owned_t *owned, const char *kind)
+static uint32_t count_kind(const ts_owned_backend_t *owned, const char *kind)
 {
     uint32_t count = 0;
     for (guint i = 0; i < owned->running->len; i++) {
@@ -108,9 +108,9 @@
 
 /* ---- running ---- */
 
-static void run_next(ts_owned_t *owned);
+static void run_next(ts_owned_backend_t *owned);
 
-static void update_service_time(ts_owned_t *owned, const ts_subreply_t *subreply)
+static void update_service_time(ts_owned_backend_t *owned, const ts_subreply_t *subreply)
 {
     double service = subreply->service_us;
     owned->service_us =
@@ -121,7 +121,7 @@
     owned->slots_allowed = MIN(owned->slots_allowed + 1, owned->slots);
 }
 
-static void apply_outcome(ts_owned_t *owned, const ts_subreply_t *subreply)
+static void apply_outcome(ts_owned_backend_t *owned, const ts_subreply_t *subreply)
 {
     switch (subreply->error) {
     case TS_OK:
@@ -149,7 +149,7 @@
 static void handle_result(void *context, ts_subreply_t *subreply)
 {
     ts_job_t *job = context;
-    ts_owned_t *owned = job->owned;
+    ts_owned_backend_t *owned = job->owned;
     g_ptr_array_remove_fast(owned->running, job);
     ts_count(TS_COUNTER_BROKER_SLOTS_IN_USE, -1);
     ts_count(TS_COUNTER_SEARCHER_ERRORS, subreply->error != TS_OK);
@@ -160,7 +160,7 @@
     run_next(owned);
 }
 
-static void run_job(ts_owned_t *owned, ts_job_t *job)
+static void run_job(ts_owned_backend_t *owned, ts_job_t *job)
 {
     job->started_us = ts_clock_now_us();
     g_ptr_array_add(owned->running, job);
@@ -173,7 +173,7 @@
 }
 
 /* The highest-ranked waiting job that may use a slot now, or NULL. */
-static ts_job_t *choose_waiting(const ts_owned_t *owned, ts_time_us_t now_us)
+static ts_job_t *choose_waiting(const ts_owned_backend_t *owned, ts_time_us_t now_us)
 {
     ts_job_t *best = NULL;
     double best_rank = -1;
@@ -190,13 +190,13 @@
     return best;
 }
 
-static void remove_waiting(ts_owned_t *owned, ts_job_t *job)
+static void remove_waiting(ts_owned_backend_t *owned, ts_job_t *job)
 {
     g_ptr_array_remove_fast(owned->waiting, job);
     ts_count(TS_COUNTER_BROKER_QUEUED, -1);
 }
 
-static void run_next(ts_owned_t *owned)
+static void run_next(ts_owned_backend_t *owned)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     ts_job_t *job = NULL;
@@ -229,7 +229,8 @@
     return TS_E_NOT_OWNER;
 }
 
-static ts_admission_input_t describe_load(const ts_owned_t *owned, const ts_job_t *job)
+static ts_admission_input_t make_admission_input(const ts_owned_backend_t *owned,
+                                                 const ts_job_t *job)
 {
     uint32_t ahead = 0;
     for (guint i = 0; i < owned->waiting->len; i++) {
@@ -251,7 +252,7 @@
 }
 
 /* Makes room in a full queue by refusing the job of the lowest priority, if below this one's. */
-static bool displace_lower_priority(ts_owned_t *owned, const ts_job_t *job)
+static bool displace_lower_priority(ts_owned_backend_t *owned, const ts_job_t *job)
 {
     ts_job_t *lowest = NULL;
     for (guint i = 0; i < owned->waiting->len; i++) {
@@ -269,14 +270,14 @@
     return true;
 }
 
-void ts_owned_submit(ts_owned_t *owned, ts_job_t *job)
+void ts_owned_submit(ts_owned_backend_t *owned, ts_job_t *job)
 {
     ts_error_t error = state_error(owned->state);
     if (error != TS_OK) {
         ts_job_refuse(job, error);
         return;
     }
-    ts_admission_input_t input = describe_load(owned, job);
+    ts_admission_input_t input = make_admission_input(owned, job);
     ts_admission_t admission = ts_admission_decide(&input, &error);
     if (error == TS_E_QUEUE_FULL && displace_lower_priority(owned, job)) {
         admission = TS_ADMIT_QUEUE;
@@ -302,7 +303,7 @@
 /* Removes a job from its slot or from the queue, without a reply. */
 static void detach_job(ts_job_t *job)
 {
-    ts_owned_t *owned = job->owned;
+    ts_owned_backend_t *owned = job->owned;
     if (job->call == NULL) {
         remove_waiting(owned, job);
         return;
@@ -315,7 +316,7 @@
 
 void ts_owned_cancel(ts_job_t *job)
 {
-    ts_owned_t *owned = job->owned;
+    ts_owned_backend_t *owned = job->owned;
     bool is_unrepeatable = job->work->unrepeatable;
     bool is_running = job->call != NULL;
     if (is_unrepeatable && is_running) {
@@ -331,7 +332,7 @@
     run_next(owned);
 }
 
-void ts_owned_refuse_waiting(ts_owned_t *owned, ts_error_t error)
+void ts_owned_refuse_waiting(ts_owned_backend_t *owned, ts_error_t error)
 {
     while (owned->waiting->len > 0) {
         ts_job_t *job = g_ptr_array_index(owned->waiting, 0);
@@ -340,7 +341,7 @@
     }
 }
 
-static void expire_running(ts_owned_t *owned, ts_time_us_t now_us)
+static void expire_running(ts_owned_backend_t *owned, ts_time_us_t now_us)
 {
     for (guint i = owned->running->len; i > 0; i--) {
         ts_job_t *job = g_ptr_array_index(owned->running, i - 1);
@@ -354,7 +355,7 @@
     }
 }
 
-static void expire_waiting(ts_owned_t *owned, ts_time_us_t now_us)
+static void expire_waiting(ts_owned_backend_t *owned, ts_time_us_t now_us)
 {
     for (guint i = owned->waiting->len; i > 0; i--) {
         ts_job_t *job = g_ptr_array_index(owned->waiting, i - 1);
@@ -365,9 +366,9 @@
     }
 }
 
-/* Whether the health endpoint, which lags, still reports a backend as serving that has said in a
-   reply that it is draining. */
-static bool is_outdated_health(const ts_owned_t *owned, ts_searcher_health_t health)
+/* Whether to ignore a health result: the health endpoint may lag behind a drain that was reported
+   in a reply. */
+static bool is_outdated_health(const ts_owned_backend_t *owned, ts_searcher_health_t health)
 {
     return owned->state == TS_OWNED_DRAINING && health == TS_HEALTH_SERVING &&
            ts_clock_now_us() - owned->drain_reported_us < DRAIN_REPORT_TTL_US;
@@ -377,7 +378,7 @@
 {
     static const ts_owned_state_t states[] = {TS_OWNED_UNREACHABLE, TS_OWNED_STARTING,
                                               TS_OWNED_SERVING, TS_OWNED_DRAINING};
-    ts_owned_t *owned = context;
+    ts_owned_backend_t *owned = context;
     owned->is_health_pending = false;
     if (owned->is_health_stale) {
         owned->is_health_stale = false;
@@ -393,7 +394,7 @@
     run_next(owned);
 }
 
-void ts_owned_recheck(ts_owned_t *owned)
+void ts_owned_recheck(ts_owned_backend_t *owned)
 {
     if (owned->state == TS_OWNED_RETIRED) {
         return;
@@ -404,13 +405,13 @@
     owned->health_due_us = 0;
 }
 
-static void check_health(ts_owned_t *owned)
+static void check_health(ts_owned_backend_t *owned)
 {
     owned->is_health_pending = true;
     owned->broker->client->check_health(owned->searcher, handle_health, owned);
 }
 
-void ts_owned_tick(ts_owned_t *owned, ts_time_us_t now_us)
+void ts_owned_tick(ts_owned_backend_t *owned, ts_time_us_t now_us)
 {
     expire_running(owned, now_us);
     expire_waiting(owned, now_us);
--- a/src/front/directory.c
+++ b/src/front/directory.c
@@ -13,7 +13,7 @@
 /* Half-life at which a service time above the mean decays towards the mean, so that a slow replica
    is tried again. */
 #define SLOW_HALF_LIFE_US 1000000.0
-/* A silent peer is not avoided once per interval, to find out whether it answers again. */
+/* A silent peer may be tried once per interval, to find out whether it answers again. */
 #define SILENT_PROBE_INTERVAL_US (250ULL * TS_US_PER_MS)
 #define SILENT_OUTSTANDING_MIN 3U
 
@@ -70,7 +70,7 @@
     return directory->view;
 }
 
-ts_replica_t *ts_directory_replica(ts_directory_t *directory, const ts_backend_t *backend)
+ts_replica_t *ts_directory_ensure_replica(ts_directory_t *directory, const ts_backend_t *backend)
 {
     ts_replica_t *replica = g_hash_table_lookup(directory->replicas, &backend->id);
     if (replica == NULL) {
@@ -86,7 +86,7 @@
     if (directory->view == NULL) {
         return NULL;
     }
-    ts_replica_t *replica = ts_directory_replica(directory, backend);
+    ts_replica_t *replica = ts_directory_ensure_replica(directory, backend);
     if (replica->owner_epoch != directory->epoch) {
         replica->owner = ts_view_owner(directory->view, backend);
         replica->owner_epoch = directory->epoch;
@@ -177,7 +177,7 @@
     }
 }
 
-void ts_directory_note_heard(ts_directory_t *directory, uint64_t id)
+void ts_directory_note_reply(ts_directory_t *directory, uint64_t id)
 {
     peer_record_t *peer = ensure_peer(directory, id);
     peer->unanswered_since_us = 0;
@@ -189,8 +189,8 @@
     ensure_peer(directory, id)->outstanding--;
 }
 
-GArray *ts_directory_find_silent(ts_directory_t *directory, ts_time_us_t timeout_us,
-                                 ts_time_us_t now_us)
+GArray *ts_directory_find_silent_peers(ts_directory_t *directory, ts_time_us_t timeout_us,
+                                       ts_time_us_t now_us)
 {
     GArray *silent = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GHashTableIter iterator;
@@ -208,8 +208,8 @@
     return silent;
 }
 
-/* Whether to avoid a peer. If a probe of a silent peer is due, returns false and schedules the
- * next. */
+/* Whether to avoid a peer. If a probe of a silent peer is due, returns false and schedules the next
+   probe. */
 static bool should_avoid_peer(ts_directory_t *directory, uint64_t id, ts_time_us_t now_us)
 {
     peer_record_t *peer = ensure_peer(directory, id);
@@ -235,10 +235,10 @@
     return mean_us + (replica->service_us - mean_us) * exp2(-age_us / SLOW_HALF_LIFE_US);
 }
 
-void ts_directory_describe(ts_directory_t *directory, const ts_backend_t *backend,
-                           ts_time_us_t now_us, ts_candidate_t *candidate)
+void ts_directory_fill_candidate(ts_directory_t *directory, const ts_backend_t *backend,
+                                 ts_time_us_t now_us, ts_candidate_t *candidate)
 {
-    const ts_replica_t *replica = ts_directory_replica(directory, backend);
+    const ts_replica_t *replica = ts_directory_ensure_replica(directory, backend);
     const ts_view_member_t *owner = ts_directory_owner(directory, backend);
     candidate->slots = backend->slots;
     candidate->in_flight = replica->in_flight;
--- a/src/front/dispatch.c
+++ b/src/front/dispatch.c
@@ -42,7 +42,7 @@
 {
     ts_front_t *front = dispatch->query->front;
     ts_attempt_t *attempt = g_new0(ts_attempt_t, 1);
-    attempt->counter = front->counter++;
+    attempt->counter = front->next_counter++;
     attempt->peer = peer;
     attempt->query = dispatch->query;
     attempt->fragment = fragment;
@@ -65,7 +65,7 @@
         return TS_E_NO_REPLICA;
     }
     uint64_t peer = owner->is_self ? TS_PEER_SELF : owner->id;
-    ts_replica_t *replica = ts_directory_replica(query->front->directory, backend);
+    ts_replica_t *replica = ts_directory_ensure_replica(query->front->directory, backend);
     ts_attempt_t *attempt = create_attempt(dispatch, index, replica, peer);
     attempt->is_hedge = is_hedge;
     attempt->replica_index = replica_index;
@@ -94,7 +94,7 @@
     bool is_local = batch->peer == TS_PEER_SELF;
     ts_count(TS_COUNTER_SUBREQUESTS, batch->parts->len);
     ts_count(TS_COUNTER_SUBREQUESTS_LOCAL, is_local ? batch->parts->len : 0);
-    ts_front_watch_silence(front);
+    ts_front_start_silence_check(front);
     ts_task_send(is_local ? front->broker : front->mesh, &message->head);
 }
 
--- a/src/front/front.c
+++ b/src/front/front.c
@@ -27,7 +27,7 @@
 #define SILENCE_SAMPLES_MIN 64U
 #define SILENCE_CHECK_INTERVAL_MS 20
 
-ts_kind_stats_t *ts_front_kind_stats(ts_front_t *front, const char *kind)
+ts_kind_stats_t *ts_front_ensure_kind_stats(ts_front_t *front, const char *kind)
 {
     ts_kind_stats_t *stats = g_hash_table_lookup(front->kinds, kind);
     if (stats == NULL) {
@@ -40,13 +40,13 @@
     return stats;
 }
 
-uint64_t ts_front_random(ts_front_t *front)
+uint64_t ts_front_next_random(ts_front_t *front)
 {
     /* xorshift64*: good enough to spread load, never used for secrets */
-    front->random ^= front->random >> 12;
-    front->random ^= front->random << 25;
-    front->random ^= front->random >> 27;
-    return front->random * 2685821657736338717ULL;
+    front->random_state ^= front->random_state >> 12;
+    front->random_state ^= front->random_state << 25;
+    front->random_state ^= front->random_state >> 27;
+    return front->random_state * 2685821657736338717ULL;
 }
 
 ts_error_t ts_front_readiness(const ts_front_t *front)
@@ -116,8 +116,9 @@
     if (g_hash_table_size(front->queries) >= front->settings->queries_max) {
         return TS_E_OVERLOAD;
     }
-    const ts_kind_stats_t *stats = ts_front_kind_stats(front, selector->kind);
-    if (front->policy->retries && !ts_shedder_admits(&stats->shedder, ts_front_random(front))) {
+    const ts_kind_stats_t *stats = ts_front_ensure_kind_stats(front, selector->kind);
+    if (front->policy->retries &&
+        !ts_shedder_admits(&stats->shedder, ts_front_next_random(front))) {
         return TS_E_OVERLOAD;
     }
     return TS_OK;
@@ -147,7 +148,7 @@
     query->request = *request;
     query->declarations = ts_declarations_ref(front->declarations);
     query->selector = selector;
-    query->stats = ts_front_kind_stats(front, selector->kind);
+    query->stats = ts_front_ensure_kind_stats(front, selector->kind);
     query->started_us = ts_clock_now_us();
     uint32_t deadline_ms = selector->deadline_ms;
     if (request->deadline_ms != 0) {
@@ -190,8 +191,8 @@
         ts_count(TS_COUNTER_SUBREPLIES_UNMATCHED, 1);
         return;
     }
-    ts_directory_note_heard(front->directory, attempt->peer);
-    ts_query_take(attempt, subreply);
+    ts_directory_note_reply(front->directory, attempt->peer);
+    ts_query_handle_reply(attempt, subreply);
 }
 
 void ts_front_send_cancel(const ts_front_t *front, uint64_t peer, uint64_t counter)
@@ -223,7 +224,7 @@
         if (attempt != NULL) {
             ts_subreply_t subreply = {.error = TS_E_PEER_LOST, .run = TS_RUN_MAYBE};
             ts_front_send_cancel(front, peer, counter);
-            ts_query_take(attempt, &subreply);
+            ts_query_handle_reply(attempt, &subreply);
         }
     }
     g_array_free(counters, TRUE);
@@ -257,8 +258,8 @@
         ts_timer_stop(timer); /* no attempts in flight */
         return;
     }
-    GArray *silent =
-        ts_directory_find_silent(front->directory, silence_timeout_us(front), ts_clock_now_us());
+    GArray *silent = ts_directory_find_silent_peers(front->directory, silence_timeout_us(front),
+                                                    ts_clock_now_us());
     for (guint i = 0; i < silent->len; i++) {
         ts_count(TS_COUNTER_PEERS_SILENT, 1);
         fail_attempts_of_peer(front, g_array_index(silent, uint64_t, i), false);
@@ -266,7 +267,7 @@
     g_array_free(silent, TRUE);
 }
 
-void ts_front_watch_silence(ts_front_t *front)
+void ts_front_start_silence_check(ts_front_t *front)
 {
     if (!front->silence_timer.is_active) {
         ts_timer_start(&front->silence_timer, SILENCE_CHECK_INTERVAL_MS, SILENCE_CHECK_INTERVAL_MS);
@@ -325,8 +326,8 @@
     front->attempts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     front->queries = g_hash_table_new(g_direct_hash, g_direct_equal);
     uint64_t seed = ts_hash_mix(ts_hash_text(node->settings->name), node->incarnation);
-    front->counter = seed << COUNTER_HIGH_SHIFT;
-    front->random = seed | 1U;
+    front->next_counter = seed << COUNTER_HIGH_SHIFT;
+    front->random_state = seed | 1U;
     front->task = ts_task_create(node->tasks, "front", handle_message, front);
     return TS_OK;
 }
--- a/src/front/front_internal.h
+++ b/src/front/front_internal.h
@@ -24,11 +24,11 @@
     ts_task_t *mesh;
     ts_declarations_t *declarations;
     ts_directory_t *directory;
-    GHashTable *kinds;    /**< kind -> ts_kind_stats_t, owned */
-    GHashTable *attempts; /**< &counter -> ts_attempt_t, owned */
-    GHashTable *queries;  /**< set of ts_query_t, owned */
-    uint64_t counter;     /**< next subrequest id; the high half names this incarnation */
-    uint64_t random;
+    GHashTable *kinds;     /**< kind -> ts_kind_stats_t, owned */
+    GHashTable *attempts;  /**< &counter -> ts_attempt_t, owned */
+    GHashTable *queries;   /**< set of ts_query_t, owned */
+    uint64_t next_counter; /**< next subrequest id; the high half identifies this incarnation */
+    uint64_t random_state;
     ts_timer_t silence_timer;   /**< checks for silent peers */
     ts_timer_t lame_duck_timer; /**< from the stop until queries are refused */
     bool has_been_ready;
@@ -53,18 +53,18 @@
 };
 
 /** The stats of a kind; created on first use. */
-ts_kind_stats_t *ts_front_kind_stats(ts_front_t *front, const char *kind);
+ts_kind_stats_t *ts_front_ensure_kind_stats(ts_front_t *front, const char *kind);
 /** Sends a cancellation to the broker of a node; `peer` may be TS_PEER_SELF. */
 void ts_front_send_cancel(const ts_front_t *front, uint64_t peer, uint64_t counter);
 /** Checks for silent peers periodically until no attempts are in flight. */
-void ts_front_watch_silence(ts_front_t *front);
+void ts_front_start_silence_check(ts_front_t *front);
 /** Fresh random bits. */
-uint64_t ts_front_random(ts_front_t *front);
+uint64_t ts_front_next_random(ts_front_t *front);
 
 /** Plans and sends a new query; it may finish at once. */
 void ts_query_start(ts_query_t *query);
 /** Handles the reply to an attempt, and ends the attempt. */
-void ts_query_take(ts_attempt_t *attempt, ts_subreply_t *subreply);
+void ts_query_handle_reply(ts_attempt_t *attempt, ts_subreply_t *subreply);
 /** Frees a query when the node shuts down; sends nothing and does not call the callback. */
 void ts_query_discard(ts_query_t *query);
 /** Ends a query without calling its callback. */
--- a/src/front/query.c
+++ b/src/front/query.c
@@ -95,7 +95,7 @@
         for (uint32_t j = 0; j < known; j++) {
             const ts_backend_t *backend = &query->declarations->backends[fragment->replicas[j]];
             versions[i].answered[j] =
-                ts_directory_replica(query->front->directory, backend)->snapshot;
+                ts_directory_ensure_replica(query->front->directory, backend)->snapshot;
         }
     }
     uint64_t snapshot = ts_route_choose_snapshot(versions, query->fragment_count).snapshot;
@@ -122,7 +122,7 @@
     uint32_t count = MIN(fragment->replica_count, CANDIDATES_MAX);
     for (uint32_t i = 0; i < count; i++) {
         const ts_backend_t *backend = &query->declarations->backends[fragment->replicas[i]];
-        ts_directory_describe(query->front->directory, backend, now_us, &candidates[i]);
+        ts_directory_fill_candidate(query->front->directory, backend, now_us, &candidates[i]);
         candidates[i].backend = fragment->replicas[i];
         candidates[i].tried = (fragment->tried >> i & 1U) != 0;
     }
@@ -141,7 +141,7 @@
         .candidates = candidates,
         .count = fill_candidates(query, fragment, candidates),
         .wanted_snapshot = wanted_snapshot,
-        .random = ts_front_random(query->front),
+        .random = ts_front_next_random(query->front),
     };
     return query->front->policy->choose(&input);
 }
@@ -168,7 +168,7 @@
 
 /* ---- hedges, retries and repeats ---- */
 
-static ts_time_us_t hedge_age_us(const ts_query_t *query)
+static ts_time_us_t hedge_after_us(const ts_query_t *query)
 {
     ts_hedge_input_t input = {query->selector, &query->stats->latencies, query->deadline_span_us};
     return query->front->policy->hedge_after_us(&input);
@@ -184,7 +184,7 @@
 static void send_due_hedges(ts_dispatch_t *dispatch, ts_query_t *query, uint64_t snapshot,
                             ts_time_us_t now_us)
 {
-    ts_time_us_t age_us = hedge_age_us(query);
+    ts_time_us_t age_us = hedge_after_us(query);
     if (age_us == TS_HEDGE_NEVER) {
         return;
     }
@@ -334,14 +334,14 @@
     step_query(timer->data);
 }
 
-static ts_time_us_t earliest_event(const ts_query_t *query, const ts_stop_input_t *stop_input)
+static ts_time_us_t next_event_us(const ts_query_t *query, const ts_stop_input_t *stop_input)
 {
     ts_time_us_t due = query->started_us + query->deadline_span_us;
     ts_time_us_t stop_check = query->front->policy->stop_check_us(stop_input);
     if (stop_check > stop_input->elapsed_us) {
         due = MIN(due, query->started_us + stop_check);
     }
-    ts_time_us_t age_us = hedge_age_us(query);
+    ts_time_us_t age_us = hedge_after_us(query);
     for (uint32_t i = 0; i < query->fragment_count; i++) {
         const ts_fragment_t *fragment = &query->fragments[i];
         if (fragment->state == TS_FRAGMENT_BACKOFF) {
@@ -355,7 +355,7 @@
 
 static void arm_timer(ts_query_t *query, const ts_stop_input_t *stop_input, ts_time_us_t now_us)
 {
-    ts_time_us_t due = earliest_event(query, stop_input);
+    ts_time_us_t due = next_event_us(query, stop_input);
     ts_time_us_t left = due > now_us ? due - now_us : 0;
     /* Rounded up, so that the event is due when the timer fires. */
     ts_timer_start(&query->timer, (left + TS_US_PER_MS - 1) / TS_US_PER_MS, 0);
@@ -453,13 +453,14 @@
         return;
     }
     fragment->state = TS_FRAGMENT_BACKOFF;
-    ts_time_us_t pause = has_untried_replica(fragment)
-                             ? 0
-                             : RETRY_BACKOFF_US + ts_front_random(query->front) % RETRY_BACKOFF_US;
+    ts_time_us_t pause =
+        has_untried_replica(fragment)
+            ? 0
+            : RETRY_BACKOFF_US + ts_front_next_random(query->front) % RETRY_BACKOFF_US;
     fragment->retry_at_us = ts_clock_now_us() + pause;
 }
 
-void ts_query_take(ts_attempt_t *attempt, ts_subreply_t *subreply)
+void ts_query_handle_reply(ts_attempt_t *attempt, ts_subreply_t *subreply)
 {
     ts_query_t *query = attempt->query;
     ts_fragment_t *fragment = &query->fragments[attempt->fragment];
