--- a/src/broker/broker.c
+++ b/src/broker/broker.c
@@ -125,14 +125,14 @@
 /* ---- unrepeatable requests ---- */
 
 /* Start of this node's uninterrupted ownership of the job's backend, wall clock. */
-static int64_t sole_owner_since_ms(const ts_job_t *job)
+static int64_t exclusive_owner_since_ms(const ts_job_t *job)
 {
     return MAX(job->owned->owned_since_ms, job->broker->exclusive_since_ms);
 }
 
-/* Returns an error unless it is certain that no other owner has dispatched the id, and that an
-   earlier dispatch by this one would still be in the idempotency table. */
-static ts_error_t check_earlier_dispatch(const ts_job_t *job)
+/* Returns TS_OK only if no other owner can have dispatched the id, and an earlier dispatch by this
+   one would still be in the idempotency table. */
+static ts_error_t rule_out_earlier_dispatch(const ts_job_t *job)
 {
     const ts_broker_t *broker = job->broker;
     int64_t now_ms = ts_clock_wall_ms();
@@ -146,7 +146,7 @@
     if (issued_ms > now_ms + CLOCK_SKEW_MAX_MS || issued_ms < now_ms - ID_AGE_MAX_MS) {
         return TS_E_OWNER_CHANGED;
     }
-    if (issued_ms < sole_owner_since_ms(job) + OWNER_FENCE_MS + CLOCK_SKEW_MAX_MS) {
+    if (issued_ms < exclusive_owner_since_ms(job) + OWNER_FENCE_MS + CLOCK_SKEW_MAX_MS) {
         return TS_E_OWNER_CHANGED;
     }
     return TS_OK;
@@ -154,8 +154,8 @@
 
 static void log_dispatch(const ts_job_t *job, ts_error_t error)
 {
-    bool is_taken = error == TS_OK;
-    ts_log(is_taken ? TS_EVENT_DISPATCH_TAKEN : TS_EVENT_DISPATCH_REFUSED,
+    bool is_accepted = error == TS_OK;
+    ts_log(is_accepted ? TS_EVENT_DISPATCH_TAKEN : TS_EVENT_DISPATCH_REFUSED,
            "id=%s backend=%s error=%s peer=%016" PRIx64, job->work->request_id,
            job->owned == NULL ? "-" : job->owned->name, ts_error_name(error), job->peer);
 }
@@ -163,11 +163,11 @@
 static void submit_unrepeatable(ts_job_t *job)
 {
     ts_broker_t *broker = job->broker;
-    ts_subreply_t kept = {0};
-    ts_error_t error = check_earlier_dispatch(job);
+    ts_subreply_t outcome = {0};
+    ts_error_t error = rule_out_earlier_dispatch(job);
     log_dispatch(job, error);
     if (error != TS_OK) {
-        reply_not_run_here(job, error, sole_owner_since_ms(job));
+        reply_not_run_here(job, error, exclusive_owner_since_ms(job));
         return;
     }
     switch (ts_idempotency_admit(broker->idempotency, job->work, ts_clock_now_us())) {
@@ -176,8 +176,8 @@
         break;
     case TS_IDEMPOTENCY_REPLAY:
         ts_count(TS_COUNTER_IDEMPOTENCY_REPLAYED, 1);
-        ts_idempotency_replay(broker->idempotency, job->work->request_id, &kept);
-        reply_undispatched(job, &kept);
+        ts_idempotency_replay(broker->idempotency, job->work->request_id, &outcome);
+        reply_undispatched(job, &outcome);
         break;
     case TS_IDEMPOTENCY_UNKNOWN:
         reply_unknown(job, TS_E_DEADLINE);
@@ -377,14 +377,14 @@
     update_ownership(broker);
 }
 
-static bool is_drained(const ts_broker_t *broker)
+static bool has_finished_jobs(const ts_broker_t *broker)
 {
     return broker->has_released_all && g_hash_table_size(broker->jobs) == 0;
 }
 
 static void report_idle(ts_broker_t *broker)
 {
-    if (broker->has_reported_idle || !is_drained(broker))
+    if (broker->has_reported_idle || !has_finished_jobs(broker))
         return;
     broker->has_reported_idle = true;
     ts_task_send(broker->membership, ts_broker_idle_message());
@@ -497,7 +497,7 @@
 static bool is_broker_idle(ts_node_t *node)
 {
     const ts_broker_t *broker = ts_node_state(node, "broker");
-    return broker->has_reported_idle && is_drained(broker);
+    return broker->has_reported_idle && has_finished_jobs(broker);
 }
 
 static void describe_broker(ts_node_t *node, json_t *status)
--- a/src/broker/owned.c
+++ b/src/broker/owned.c
@@ -13,8 +13,8 @@
 /* How long a drain reported in a reply takes precedence over the health check. */
 #define DRAIN_REPORT_TTL_US (3ULL * TS_US_PER_S)
 #define HEALTH_RETRY_INTERVAL_US (200ULL * TS_US_PER_MS)
-/* An owner opens half of the declared connections, so that the limit is kept while a previous owner
-   still holds its own. */
+/* An owner uses half of the declared connections, so that the total stays within the limit while a
+   previous owner still holds its own. */
 #define CONNECTION_DIVISOR 2U
 
 static void check_health(ts_owned_backend_t *owned);
@@ -67,11 +67,11 @@
     }
     ts_log(TS_EVENT_BACKEND_STATE, "%s: %s to %s", owned->name, ts_owned_state_name(owned->state),
            ts_owned_state_name(state));
-    /* Start with half of the slots, as a previous owner may still have requests running there;
-       after a failure start with one. */
-    bool is_first = owned->state == TS_OWNED_CHECKING && state == TS_OWNED_SERVING;
+    /* After a takeover or a stall, start with half of the slots, as another owner may still have
+       requests running there; after a failure start with one. */
+    bool has_passed_check = owned->state == TS_OWNED_CHECKING && state == TS_OWNED_SERVING;
     owned->state = state;
-    if (is_first) {
+    if (has_passed_check) {
         owned->slots_allowed = MAX(1U, owned->slots / 2);
     } else if (state != TS_OWNED_SERVING) {
         owned->slots_allowed = 1;
@@ -101,7 +101,7 @@
     return count;
 }
 
-static ts_time_us_t time_left(const ts_job_t *job, ts_time_us_t now_us)
+static ts_time_us_t time_left_us(const ts_job_t *job, ts_time_us_t now_us)
 {
     return job->work->deadline_us > now_us ? job->work->deadline_us - now_us : 0;
 }
@@ -169,7 +169,7 @@
     ts_observe_us(TS_HISTOGRAM_QUEUE_TIME, job->started_us - job->received_us);
     job->call = owned->broker->client->search(
         owned->searcher, job->work, ts_owned_find_shard(owned, job->part.shard),
-        job->part.wanted_snapshot, time_left(job, job->started_us), handle_result, job);
+        job->part.wanted_snapshot, time_left_us(job, job->started_us), handle_result, job);
 }
 
 /* The highest-ranked waiting job that may use a slot now, or NULL. */
@@ -202,7 +202,7 @@
     ts_job_t *job = NULL;
     while ((job = choose_waiting(owned, now_us)) != NULL) {
         remove_waiting(owned, job);
-        if (time_left(job, now_us) == 0) {
+        if (time_left_us(job, now_us) == 0) {
             ts_job_refuse(job, TS_E_PAST_DEADLINE);
         } else {
             run_job(owned, job);
@@ -246,7 +246,7 @@
         .queue_length = owned->waiting->len,
         .queue_max = owned->slots * QUEUE_LENGTH_PER_SLOT,
         .service_us = owned->service_us,
-        .left_us = time_left(job, job->received_us),
+        .left_us = time_left_us(job, job->received_us),
     };
     return input;
 }
@@ -345,7 +345,7 @@
 {
     for (guint i = owned->running->len; i > 0; i--) {
         ts_job_t *job = g_ptr_array_index(owned->running, i - 1);
-        if (time_left(job, now_us) > 0) {
+        if (time_left_us(job, now_us) > 0) {
             continue;
         }
         ts_subreply_t subreply = {.error = TS_E_DEADLINE, .run = TS_RUN_MAYBE};
@@ -359,7 +359,7 @@
 {
     for (guint i = owned->waiting->len; i > 0; i--) {
         ts_job_t *job = g_ptr_array_index(owned->waiting, i - 1);
-        if (time_left(job, now_us) == 0) {
+        if (time_left_us(job, now_us) == 0) {
             remove_waiting(owned, job);
             ts_job_refuse(job, TS_E_PAST_DEADLINE);
         }
@@ -388,9 +388,9 @@
     if (!is_outdated_health(owned, health)) {
         ts_owned_set_state(owned, states[health]);
     }
-    bool is_reachable = health == TS_HEALTH_SERVING || health == TS_HEALTH_DRAINING;
+    bool has_started = health == TS_HEALTH_SERVING || health == TS_HEALTH_DRAINING;
     owned->health_due_us =
-        ts_clock_now_us() + (is_reachable ? HEALTH_INTERVAL_US : HEALTH_RETRY_INTERVAL_US);
+        ts_clock_now_us() + (has_started ? HEALTH_INTERVAL_US : HEALTH_RETRY_INTERVAL_US);
     run_next(owned);
 }
 
--- a/src/front/query.c
+++ b/src/front/query.c
@@ -84,8 +84,7 @@
     return choice;
 }
 
-/* The snapshot available in the most shards, by the latest replies of the first replicas of each.
- */
+/* The snapshot that the most shards can provide, by the latest replies of their first replicas. */
 static uint64_t predict_snapshot(const ts_query_t *query)
 {
     ts_shard_versions_t *versions = g_new0(ts_shard_versions_t, query->fragment_count);
@@ -297,13 +296,13 @@
                                   ts_stop_t stop)
 {
     const ts_fragment_t *failure = find_failure(query);
-    bool ran = may_have_run(query);
+    bool is_possibly_run = may_have_run(query);
     ts_error_t error = failure != NULL ? failure->error : TS_E_DEADLINE;
-    if (ran && query->fragment_count > 1) {
+    if (is_possibly_run && query->fragment_count > 1) {
         error = stop == TS_STOP_DEADLINE ? TS_E_DEADLINE : TS_E_COVERAGE;
     }
     uint32_t after_ms = failure != NULL ? failure->retry_after_ms : 0;
-    bool is_unknown = ran || (query->request.repeat && !is_checked_by_owner(error));
+    bool is_unknown = is_possibly_run || (query->request.repeat && !is_checked_by_owner(error));
     ts_outcome_t outcome = is_unknown ? TS_OUTCOME_UNKNOWN : TS_OUTCOME_REFUSED;
     ts_query_log_unanswered(query, outcome, error);
     ts_query_deliver_failure(query, outcome, error, choice->snapshot,
@@ -395,9 +394,9 @@
     subreply->hits_count = 0;
 }
 
-static void record_denied_snapshot(ts_fragment_t *fragment, uint64_t wanted, uint64_t given)
+static void record_denied_snapshot(ts_fragment_t *fragment, uint64_t wanted, uint64_t provided)
 {
-    if (wanted == 0 || wanted == given) {
+    if (wanted == 0 || wanted == provided) {
         return;
     }
     if (fragment->denied[0] != 0 && fragment->denied[0] != wanted) {
@@ -453,11 +452,11 @@
         return;
     }
     fragment->state = TS_FRAGMENT_BACKOFF;
-    ts_time_us_t pause =
+    ts_time_us_t backoff_us =
         has_untried_replica(fragment)
             ? 0
             : RETRY_BACKOFF_US + ts_front_next_random(query->front) % RETRY_BACKOFF_US;
-    fragment->retry_at_us = ts_clock_now_us() + pause;
+    fragment->retry_at_us = ts_clock_now_us() + backoff_us;
 }
 
 void ts_query_handle_reply(ts_attempt_t *attempt, ts_subreply_t *subreply)
--- a/tests/front/test_caller_http.c
+++ b/tests/front/test_caller_http.c
@@ -1,5 +1,4 @@
-/** Robustness of the query API of a real node: malformed, oversized, slow and pipelined requests.
- */
+/** Robustness of a real node's query API: malformed, oversized, slow and pipelined requests. */
 #include "../test_support.h"
 
 #include <arpa/inet.h>
