--- a/include/tealspar/directory.h
+++ b/include/tealspar/directory.h
@@ -8,20 +8,24 @@
 #include "tealspar/messages.h"
 #include "tealspar/route-t.h"
 
-/** State of one backend as known to the front; kept by id when the declarations change. */
+/**
+ * State of one backend as known to the front, for all of its shards ("replica" of a shard: one of
+ * the backends that serve it). Records are found by backend id and kept until the directory is
+ * destroyed, so they survive a change of the declarations.
+ */
 typedef struct ts_replica {
     uint64_t id;
-    uint32_t in_flight;
-    uint32_t slots_in_use;
-    uint32_t queue_length;
-    ts_time_us_t hint_us; /**< when the previous two were reported */
-    double service_us;    /**< moving average; 0: unknown */
-    uint64_t snapshot;    /**< index version of the last reply; 0: unknown */
-    ts_time_us_t avoid_until_us;
+    uint32_t in_flight;    /**< subrequests from this front */
+    uint32_t slots_in_use; /**< reported by its owner in the last reply; 0 after TS_E_PEER_LOST */
+    uint32_t queue_length; /**< the same */
+    ts_time_us_t load_updated_us;    /**< when slots_in_use and queue_length were set; 0: never */
+    double service_us;               /**< moving average; 0: unknown */
+    uint64_t snapshot;               /**< index version of the last reply; 0: unknown */
+    ts_time_us_t avoid_until_us;     /**< avoided until then; 0: not avoided */
     uint32_t failures;               /**< consecutive */
     ts_time_us_t service_updated_us; /**< when service_us was last updated */
-    uint64_t owner_epoch;            /**< view epoch for which `owner` was computed */
-    const ts_view_member_t *owner;
+    uint64_t owner_view_count;       /**< the directory's count of views when `owner` was set */
+    const ts_view_member_t *owner;   /**< NULL: none; points into the view */
 } ts_replica_t;
 
 typedef struct ts_directory ts_directory_t;
@@ -32,40 +36,45 @@
 void ts_directory_set_view(ts_directory_t *directory, ts_view_t *view);
 /** The current view, or NULL. */
 const ts_view_t *ts_directory_view(const ts_directory_t *directory);
-/** The record of a backend; created on first use. */
+/** The record of a backend; created on first use. Valid as long as the directory. */
 ts_replica_t *ts_directory_ensure_replica(ts_directory_t *directory, const ts_backend_t *backend);
-/** The owner of a backend, or NULL if there is no view or no eligible member. */
+/** The owner of a backend by the current view (see ts_view_owner()), or NULL if there is none. */
 const ts_view_member_t *ts_directory_owner(ts_directory_t *directory, const ts_backend_t *backend);
 /**
- * Records a reply: load, service time and snapshot, or a failure of the backend, which is then
- * avoided for a time.
- */
-void ts_directory_learn(ts_directory_t *directory, ts_replica_t *replica,
-                        const ts_subreply_t *subreply, ts_time_us_t latency_us,
-                        ts_time_us_t now_us);
-/**
- * Records an attempt that was cancelled before its reply: its age is a lower bound of its latency.
- * Without this, a slow replica whose attempts are always cancelled in favor of a hedge would keep a
- * low service time.
+ * Records a reply, or the failure of an attempt without a reply. A success updates load, service
+ * time and snapshot. An error updates the load; if it is caused by the backend or its owner, the
+ * backend is avoided for a time that doubles with each consecutive failure up to a maximum, or for
+ * the reply's retry_after_ms if that is longer.
  */
-void ts_directory_learn_censored(ts_directory_t *directory, ts_replica_t *replica,
-                                 ts_time_us_t age_us, ts_time_us_t now_us);
+void ts_directory_record_reply(ts_directory_t *directory, ts_replica_t *replica,
+                               const ts_subreply_t *subreply, ts_time_us_t latency_us,
+                               ts_time_us_t now_us);
 /**
- * Track the subrequests outstanding at a peer: one was sent; a reply arrived; one has ended, with
- * or without a reply.
+ * Records an attempt that was cancelled before its reply. Its age is a lower bound of its latency;
+ * the age minus the mean overhead counts as a service time if that raises the average and the last
+ * reported queue was empty. Without this, a slow replica whose attempts are always cancelled in
+ * favor of a hedge would keep a low service time.
  */
+void ts_directory_record_cancelled(ts_directory_t *directory, ts_replica_t *replica,
+                                   ts_time_us_t age_us, ts_time_us_t now_us);
+/** A subrequest was sent to `peer`, which may be TS_PEER_SELF; it is outstanding until its end. */
 void ts_directory_note_sent(ts_directory_t *directory, uint64_t peer, ts_time_us_t now_us);
+/** A reply arrived: the peer is not silent. The end of the subrequest is noted separately. */
 void ts_directory_note_reply(ts_directory_t *directory, uint64_t peer);
+/** A subrequest is no longer outstanding: replied to, failed or cancelled. */
 void ts_directory_note_ended(ts_directory_t *directory, uint64_t peer);
 /**
- * Peers that have become silent since the last call: several subrequests are outstanding and no
- * reply has arrived for `timeout_us`. Returns an array of uint64_t, freed by the caller.
+ * Peers that have become silent since the last call: several subrequests are outstanding
+ * (SILENT_OUTSTANDING_MIN), and `timeout_us` has passed without a reply since the first one that
+ * was sent after the last reply. Returns an array of uint64_t, freed by the caller.
  */
 GArray *ts_directory_find_silent_peers(ts_directory_t *directory, ts_time_us_t timeout_us,
                                        ts_time_us_t now_us);
 /**
- * Fills in a candidate except its field `backend`; `tried` is set to false. A silent owner is
- * avoided, except by one call per probe interval.
+ * Fills in a candidate except its field `backend`; `tried` is set to false. `avoid` is set while
+ * failures require it, or if the owner is a silent peer. Once per SILENT_PROBE_INTERVAL_US a call
+ * disregards the silence, so that a subrequest can find out whether the owner replies again; that
+ * call also schedules the next probe, even if the candidate is not selected.
  */
 void ts_directory_fill_candidate(ts_directory_t *directory, const ts_backend_t *backend,
                                  ts_time_us_t now_us, ts_candidate_t *candidate);
--- a/include/tealspar/front.h
+++ b/include/tealspar/front.h
@@ -17,7 +17,8 @@
 void ts_query_request_clear(ts_query_request_t *request);
 /**
  * Starts a query and takes ownership of the strings of `request`. `callback` is called exactly
- * once, unless the query is abandoned. Returns NULL if it was already called.
+ * once, unless the query is abandoned. Returns NULL if it was already called; else the query is
+ * valid until then.
  */
 ts_query_t *ts_front_submit(ts_front_t *front, ts_query_request_t *request,
                             ts_answer_callback_t callback, void *context);
--- a/include/tealspar/idempotency.h
+++ b/include/tealspar/idempotency.h
@@ -17,7 +17,7 @@
     TS_IDEMPOTENCY_REUSED   /**< the id belongs to a different request */
 } ts_idempotency_decision_t;
 
-/** Entries are retained for `retention_us` after their last change. */
+/** Entries are retained for `retention_us` after their last change; then the id counts as new. */
 ts_idempotency_t *ts_idempotency_create(ts_time_us_t retention_us);
 void ts_idempotency_destroy(ts_idempotency_t *table);
 /** Decides on a request and, for RUN, marks its id as dispatched. */
@@ -25,10 +25,11 @@
                                                ts_time_us_t now_us);
 /** Removes the id of a dispatch that was certainly not executed; it may be dispatched again. */
 void ts_idempotency_release(ts_idempotency_t *table, const char *request_id);
-/** Stores a copy of the outcome of a dispatch. */
+/** Stores a copy of the outcome of a dispatch; ignored if the id is not in the table. */
 void ts_idempotency_finish(ts_idempotency_t *table, const char *request_id,
                            const ts_subreply_t *outcome, ts_time_us_t now_us);
-/** Copies the stored outcome for a REPLAY into `outcome`; clear it with ts_subreply_clear(). */
+/** Copies the stored outcome into `outcome`, after TS_IDEMPOTENCY_REPLAY for the id. The caller
+ * frees it with ts_subreply_clear(). */
 void ts_idempotency_replay(const ts_idempotency_t *table, const char *request_id,
                            ts_subreply_t *outcome);
 /** Removes entries whose retention time has passed. */
--- a/include/tealspar/query-t.h
+++ b/include/tealspar/query-t.h
@@ -9,6 +9,7 @@
 #include "tealspar/messages.h"
 #include "tealspar/route-t.h"
 
+/** Attempts per fragment, including retries, hedges and repeats for another snapshot. */
 #define TS_ATTEMPTS_MAX 6U
 
 /** A caller's request. Owns its strings. */
@@ -18,12 +19,19 @@
     char *text;
     char *key;
     uint32_t offset;
-    uint32_t limit;
+    uint32_t limit;       /**< hits wanted, after `offset` */
     uint32_t deadline_ms; /**< 0: the selector's deadline */
     bool unrepeatable;    /**< must be executed at most once */
-    /** The id was sent before; only the owner can tell that it was not executed. */
+    /**
+     * The id was sent before. Only the owner can tell whether that request was executed, so a front
+     * does not report a repeat as refused on its own.
+     */
     bool repeat;
-    int64_t issued_at_ms; /**< caller's wall clock; 0: not given; needed if unrepeatable */
+    /**
+     * Caller's wall clock when the id was issued; 0: not given. Required if the request or its
+     * selector is unrepeatable: an owner only dispatches ids issued after it became the owner.
+     */
+    int64_t issued_at_ms;
 } ts_query_request_t;
 
 /** Outcome reported to the caller. */
@@ -44,16 +52,16 @@
 typedef struct ts_answer {
     const char *id;
     ts_outcome_t outcome;
-    ts_error_t error; /**< reason for another outcome than TS_OUTCOME_ANSWERED */
-    uint64_t snapshot;
-    uint32_t shards;
-    uint32_t covered;
+    ts_error_t error;  /**< why the query was not answered; TS_OK if it was */
+    uint64_t snapshot; /**< index version of all hits; 0 unless answered */
+    uint32_t shards;   /**< shards queried */
+    uint32_t covered;  /**< shards that answered from the chosen snapshot */
     const ts_group_coverage_t *groups;
     size_t groups_count;
-    uint64_t total;
+    uint64_t total;       /**< hits of all covered shards, before offset and limit */
     const ts_hit_t *hits; /**< by descending score, then by id; offset and limit applied */
     size_t hits_count;
-    uint32_t retry_after_ms;
+    uint32_t retry_after_ms; /**< 0: no advice */
     ts_time_us_t took_us;
 } ts_answer_t;
 
@@ -61,23 +69,23 @@
 
 typedef enum ts_fragment_state {
     TS_FRAGMENT_WAITING,  /**< at least one attempt is in flight */
-    TS_FRAGMENT_BACKOFF,  /**< retried at retry_at_us */
+    TS_FRAGMENT_BACKOFF,  /**< to be retried at retry_at_us, if the retry budget allows */
     TS_FRAGMENT_ANSWERED, /**< has an answer; may be queried again for another snapshot */
-    TS_FRAGMENT_FAILED    /**< not retried */
+    TS_FRAGMENT_FAILED    /**< will not be retried */
 } ts_fragment_state_t;
 
 typedef struct ts_query ts_query_t;
 
 /** One subrequest in flight. */
 typedef struct ts_attempt {
-    uint64_t counter; /**< id of the subrequest */
-    uint64_t peer;    /**< owner that it was sent to */
+    uint64_t counter; /**< id of the subrequest, as ts_part_t.counter */
+    uint64_t peer;    /**< node that it was sent to; TS_PEER_SELF: this one */
     ts_query_t *query;
-    uint32_t fragment; /**< index */
+    uint32_t fragment_index; /**< into the query's fragments */
     ts_replica_t *replica;
     ts_time_us_t sent_us;
-    uint64_t wanted_snapshot;
-    uint32_t replica_index; /**< into the fragment's replicas */
+    uint64_t wanted_snapshot; /**< preferred index version; 0: any */
+    uint32_t replica_index;   /**< into the fragment's replicas */
     bool is_hedge;
 } ts_attempt_t;
 
@@ -85,21 +93,22 @@
 typedef struct ts_fragment {
     ts_fragment_state_t state;
     uint32_t shard;           /**< index into the declarations' shards */
-    const uint32_t *replicas; /**< indexes of the backends that serve the shard */
+    const uint32_t *replicas; /**< indexes into the declarations' backends: allowed by selector */
     uint32_t replica_count;
     uint64_t tried; /**< bit per replica: an attempt was sent to it */
     ts_attempt_t *attempts[TS_ATTEMPTS_MAX];
-    uint32_t attempts_in_flight;
-    uint32_t attempts_made;
-    uint64_t last_peer;    /**< node that the latest attempt was sent to */
-    bool is_hedge_decided; /**< a hedge was sent, or denied by the budget */
-    bool may_have_run;     /**< some attempt may have been executed */
+    uint32_t attempts_in_flight; /**< entries used in `attempts` */
+    uint32_t attempts_made;      /**< in all, including ended ones */
+    uint64_t last_peer; /**< node that the latest attempt was sent to; TS_PEER_SELF: this one */
+    bool is_hedge_attempted; /**< a hedge was sent, denied by the budget, or had no replica */
+    bool may_have_run;       /**< some attempt may have been executed */
     ts_time_us_t retry_at_us;
-    ts_error_t error; /**< of the last failure */
-    uint32_t retry_after_ms;
+    ts_error_t error;                            /**< of the last failure */
+    uint32_t retry_after_ms;                     /**< largest of all failures */
     ts_subreply_t answers[TS_SHARD_ANSWERS_MAX]; /**< of different snapshots */
     uint32_t answers_count;
-    uint64_t denied[TS_SHARD_ANSWERS_MAX]; /**< snapshots that were requested but not provided */
+    /** Snapshots that a replica was asked for but did not answer from; 0: unused. */
+    uint64_t denied[TS_SHARD_ANSWERS_MAX];
 } ts_fragment_t;
 
 #endif
--- a/lab/planted/planted.c
+++ b/lab/planted/planted.c
@@ -76,17 +76,17 @@
 }
 
 /* "refusal": an outcome that may have run is called 'not run'. */
-void __real_ts_directory_learn(ts_directory_t *directory, ts_replica_t *replica,
-                               const ts_subreply_t *subreply, ts_time_us_t latency_us,
-                               ts_time_us_t now_us);
-void __wrap_ts_directory_learn(ts_directory_t *directory, ts_replica_t *replica,
-                               const ts_subreply_t *subreply, ts_time_us_t latency_us,
-                               ts_time_us_t now_us)
+void __real_ts_directory_record_reply(ts_directory_t *directory, ts_replica_t *replica,
+                                      const ts_subreply_t *subreply, ts_time_us_t latency_us,
+                                      ts_time_us_t now_us);
+void __wrap_ts_directory_record_reply(ts_directory_t *directory, ts_replica_t *replica,
+                                      const ts_subreply_t *subreply, ts_time_us_t latency_us,
+                                      ts_time_us_t now_us)
 {
     if (is_planted("refusal") && subreply->error != TS_OK) {
         ((ts_subreply_t *)subreply)->run = TS_RUN_NOT;
     }
-    __real_ts_directory_learn(directory, replica, subreply, latency_us, now_us);
+    __real_ts_directory_record_reply(directory, replica, subreply, latency_us, now_us);
 }
 
 /* "version": whatever is loaded last counts as the newest. */
--- a/src/broker/broker.c
+++ b/src/broker/broker.c
@@ -267,8 +267,9 @@
     return owner != NULL && owner->is_self;
 }
 
-/* Releases backends that are not in `wanted` or are redeclared. `since` gets their start of
-   ownership, which the redeclared ones keep. */
+/* Releases backends that are not in `wanted` or are redeclared. Puts their start of ownership into
+   `since` (&id -> &owned_since_ms, both in the released backend), for the redeclared ones to keep.
+ */
 static void release_lost_backends(ts_broker_t *broker, GHashTable *wanted, GHashTable *since)
 {
     GHashTableIter iterator;
--- a/src/broker/broker_internal.h
+++ b/src/broker/broker_internal.h
@@ -13,12 +13,12 @@
 typedef struct ts_job {
     ts_broker_t *broker;
     ts_owned_backend_t *owned; /**< NULL: the backend is not owned here */
-    uint64_t peer;             /**< node that sent it and gets the reply */
+    uint64_t peer;             /**< node that sent it and gets the reply; TS_PEER_SELF: this one */
     ts_part_t part;
     ts_work_t *work;
-    ts_searcher_call_t *call; /**< set while running */
+    ts_searcher_call_t *call; /**< NULL while waiting */
     ts_time_us_t received_us;
-    ts_time_us_t started_us;
+    ts_time_us_t started_us; /**< when it was sent to the searcher */
 } ts_job_t;
 
 /** State of a backend as known to its owner. */
@@ -37,23 +37,23 @@
     uint64_t id;
     char *name;
     char *address;
-    uint32_t slots;
-    uint32_t connections;
-    char **shards; /**< names; NULL-terminated */
+    uint32_t slots;       /**< as declared */
+    uint32_t connections; /**< as declared; only a part is opened (CONNECTION_DIVISOR) */
+    char **shards;        /**< names; NULL-terminated */
     ts_searcher_t *searcher;
     ts_owned_state_t state;
     uint32_t slots_allowed; /**< usable now; one more with each success, up to `slots` */
     GPtrArray *running;     /**< of ts_job_t */
     GPtrArray *waiting;     /**< of ts_job_t */
     double service_us;      /**< moving average; 0: unknown */
-    int64_t owned_since_ms; /**< wall clock */
+    int64_t owned_since_ms; /**< start of the ownership; wall clock */
     /** Of another zone, whose nodes are missing in the view. They may only be partitioned, and own
      * the backend as well. */
     bool is_foreign;
     ts_time_us_t drain_reported_us; /**< when a reply reported that it is draining; 0: never */
     bool is_health_stale;           /**< the pending check was sent before a stall */
-    ts_time_us_t health_due_us;
-    bool is_health_pending;
+    ts_time_us_t health_due_us;     /**< time of the next health check */
+    bool is_health_pending;         /**< a health check is in progress */
 };
 
 struct ts_broker {
@@ -65,7 +65,7 @@
     ts_task_t *membership;
     ts_declarations_t *declarations;
     ts_view_t *view;
-    GHashTable *owned;  /**< &id -> ts_owned_backend_t */
+    GHashTable *owned;  /**< &id -> ts_owned_backend_t, freed by close_broker() */
     GPtrArray *retired; /**< of ts_owned_backend_t, waiting for their running jobs */
     GHashTable *jobs;   /**< &counter -> ts_job_t, owned */
     ts_idempotency_t *idempotency;
@@ -77,8 +77,8 @@
     int64_t exclusive_since_ms;
     uint64_t ownership_epoch; /**< of the latest view */
     bool is_stopping;
-    bool has_released_all;
-    bool has_reported_idle;
+    bool has_released_all;  /**< after a stop: no backend is owned any more */
+    bool has_reported_idle; /**< membership knows that all jobs have ended */
 };
 
 /** Creates an owned backend and checks its health. */
@@ -87,16 +87,17 @@
 void ts_owned_free(ts_owned_backend_t *owned);
 /** The only place that changes the state. Does nothing once retired. */
 void ts_owned_set_state(ts_owned_backend_t *owned, ts_owned_state_t state);
-/** After a process stall: starts no job until the health has been checked again. */
+/** After a process stall: starts no job until the health has been checked. Does nothing if retired.
+ */
 void ts_owned_recheck(ts_owned_backend_t *owned);
-/** Runs, queues or refuses a job. */
+/** Runs, queues or refuses a job; may refuse a waiting one of lower priority in its place. */
 void ts_owned_submit(ts_owned_backend_t *owned, ts_job_t *job);
 /**
- * Cancels a running or waiting job without a reply and frees its slot at once. A running
+ * Cancels and frees a running or waiting job without a reply; its slot is free at once. A running
  * unrepeatable job is not cancelled: its outcome is kept for a repeat.
  */
 void ts_owned_cancel(ts_job_t *job);
-/** Refuses every waiting job with `error`. */
+/** Refuses and frees every waiting job. */
 void ts_owned_refuse_waiting(ts_owned_backend_t *owned, ts_error_t error);
 /** Ends jobs whose deadline has passed, starts waiting jobs, and checks the health when due. */
 void ts_owned_tick(ts_owned_backend_t *owned, ts_time_us_t now_us);
@@ -104,9 +105,12 @@
 const char *ts_owned_find_shard(const ts_owned_backend_t *owned, uint64_t shard);
 const char *ts_owned_state_name(ts_owned_state_t state);
 
-/** Replies to a job and frees it. */
+/**
+ * Replies to a job and frees it. Takes ownership of the hits of `subreply`. Updates the idempotency
+ * entry of an unrepeatable request by `subreply->run`.
+ */
 void ts_job_reply(ts_job_t *job, ts_subreply_t *subreply);
-/** Replies that a job was not executed, and frees it. */
+/** Replies that a job was not executed, as ts_job_reply(). */
 void ts_job_refuse(ts_job_t *job, ts_error_t error);
 
 #endif
--- a/src/front/directory.c
+++ b/src/front/directory.c
@@ -21,7 +21,7 @@
 typedef struct peer_record {
     uint64_t id;
     uint32_t outstanding;             /* subrequests not ended yet */
-    ts_time_us_t unanswered_since_us; /* first send since its last reply; 0: none */
+    ts_time_us_t unanswered_since_us; /* first send after its last reply; 0: none sent */
     ts_time_us_t next_probe_us;       /* while silent */
     bool is_silent;
 } peer_record_t;
@@ -32,8 +32,8 @@
     double mean_service_us;  /* moving average over all replicas */
     double mean_overhead_us; /* moving average of latency minus service time */
     ts_view_t *view;
-    const char *self_zone;
-    uint64_t epoch; /* incremented with every view */
+    const char *self_zone; /* points into the view */
+    uint64_t view_count;   /* incremented with every view, to recompute owners */
 };
 
 ts_directory_t *ts_directory_create(void)
@@ -56,7 +56,7 @@
 {
     ts_view_unref(directory->view);
     directory->view = ts_view_ref(view);
-    directory->epoch++;
+    directory->view_count++;
     directory->self_zone = "";
     for (size_t i = 0; i < view->count; i++) {
         if (view->members[i].is_self) {
@@ -87,9 +87,9 @@
         return NULL;
     }
     ts_replica_t *replica = ts_directory_ensure_replica(directory, backend);
-    if (replica->owner_epoch != directory->epoch) {
+    if (replica->owner_view_count != directory->view_count) {
         replica->owner = ts_view_owner(directory->view, backend);
-        replica->owner_epoch = directory->epoch;
+        replica->owner_view_count = directory->view_count;
     }
     return replica->owner;
 }
@@ -121,8 +121,8 @@
             : replica->service_us + SERVICE_EWMA_ALPHA * (service_us - replica->service_us);
 }
 
-void ts_directory_learn_censored(ts_directory_t *directory, ts_replica_t *replica,
-                                 ts_time_us_t age_us, ts_time_us_t now_us)
+void ts_directory_record_cancelled(ts_directory_t *directory, ts_replica_t *replica,
+                                   ts_time_us_t age_us, ts_time_us_t now_us)
 {
     double service_us = (double)age_us - directory->mean_overhead_us;
     if (service_us > replica->service_us && replica->queue_length == 0) {
@@ -130,12 +130,13 @@
     }
 }
 
-void ts_directory_learn(ts_directory_t *directory, ts_replica_t *replica,
-                        const ts_subreply_t *subreply, ts_time_us_t latency_us, ts_time_us_t now_us)
+void ts_directory_record_reply(ts_directory_t *directory, ts_replica_t *replica,
+                               const ts_subreply_t *subreply, ts_time_us_t latency_us,
+                               ts_time_us_t now_us)
 {
     replica->slots_in_use = subreply->slots_in_use;
     replica->queue_length = subreply->queue_length;
-    replica->hint_us = now_us;
+    replica->load_updated_us = now_us;
     if (subreply->error == TS_OK) {
         update_service_time(replica, subreply->service_us, now_us);
         directory->mean_service_us +=
@@ -244,7 +245,8 @@
     candidate->in_flight = replica->in_flight;
     candidate->slots_in_use = replica->slots_in_use;
     candidate->queue_length = replica->queue_length;
-    candidate->hint_age_us = replica->hint_us == 0 ? NO_HINT_AGE_US : now_us - replica->hint_us;
+    candidate->hint_age_us =
+        replica->load_updated_us == 0 ? NO_HINT_AGE_US : now_us - replica->load_updated_us;
     candidate->service_us = decayed_service_us(directory, replica, now_us);
     candidate->snapshot = replica->snapshot;
     candidate->avoid = replica->avoid_until_us > now_us;
--- a/src/front/dispatch.c
+++ b/src/front/dispatch.c
@@ -37,7 +37,7 @@
     return batch.parts;
 }
 
-static ts_attempt_t *create_attempt(ts_dispatch_t *dispatch, uint32_t fragment,
+static ts_attempt_t *create_attempt(ts_dispatch_t *dispatch, uint32_t fragment_index,
                                     ts_replica_t *replica, uint64_t peer)
 {
     ts_front_t *front = dispatch->query->front;
@@ -45,7 +45,7 @@
     attempt->counter = front->next_counter++;
     attempt->peer = peer;
     attempt->query = dispatch->query;
-    attempt->fragment = fragment;
+    attempt->fragment_index = fragment_index;
     attempt->replica = replica;
     attempt->sent_us = dispatch->now_us;
     replica->in_flight++;
@@ -54,11 +54,11 @@
     return attempt;
 }
 
-ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t index, uint32_t replica_index,
+ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t fragment_index, uint32_t replica_index,
                            uint64_t wanted_snapshot, bool is_hedge)
 {
     ts_query_t *query = dispatch->query;
-    ts_fragment_t *fragment = &query->fragments[index];
+    ts_fragment_t *fragment = &query->fragments[fragment_index];
     const ts_backend_t *backend = &query->declarations->backends[fragment->replicas[replica_index]];
     const ts_view_member_t *owner = ts_directory_owner(query->front->directory, backend);
     if (owner == NULL) {
@@ -66,7 +66,7 @@
     }
     uint64_t peer = owner->is_self ? TS_PEER_SELF : owner->id;
     ts_replica_t *replica = ts_directory_ensure_replica(query->front->directory, backend);
-    ts_attempt_t *attempt = create_attempt(dispatch, index, replica, peer);
+    ts_attempt_t *attempt = create_attempt(dispatch, fragment_index, replica, peer);
     attempt->is_hedge = is_hedge;
     attempt->replica_index = replica_index;
     attempt->wanted_snapshot = wanted_snapshot;
@@ -119,12 +119,14 @@
     }
 }
 
-/* The age of a cancelled attempt is a lower bound of its latency. */
-static void record_censored_latency(const ts_attempt_t *attempt)
+/* The age of a cancelled attempt is a lower bound of its latency. Hedges do not enter the
+ * histogram. */
+static void record_cancelled(const ts_attempt_t *attempt)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     ts_time_us_t age_us = now_us - attempt->sent_us;
-    ts_directory_learn_censored(attempt->query->front->directory, attempt->replica, age_us, now_us);
+    ts_directory_record_cancelled(attempt->query->front->directory, attempt->replica, age_us,
+                                  now_us);
     if (!attempt->is_hedge) {
         ts_histogram_add(&attempt->query->stats->latencies, age_us);
     }
@@ -133,11 +135,11 @@
 void ts_attempt_end(ts_attempt_t *attempt, bool cancel)
 {
     ts_front_t *front = attempt->query->front;
-    remove_attempt(&attempt->query->fragments[attempt->fragment], attempt);
+    remove_attempt(&attempt->query->fragments[attempt->fragment_index], attempt);
     attempt->replica->in_flight--;
     ts_directory_note_ended(front->directory, attempt->peer);
     if (cancel) {
-        record_censored_latency(attempt);
+        record_cancelled(attempt);
         ts_count(TS_COUNTER_CANCELS, 1);
         ts_front_send_cancel(front, attempt->peer, attempt->counter);
     }
--- a/src/front/front.c
+++ b/src/front/front.c
@@ -18,7 +18,8 @@
 #define LAME_DUCK_MS 1000
 /*
  * A node is silent if it has several subrequests outstanding and has not replied for a multiple of
- * a latency quantile. Attempts at it fail, and it is avoided until it replies again.
+ * a latency quantile. Attempts at it fail, except unrepeatable ones, and it is avoided until it
+ * replies again.
  */
 #define SILENCE_TIMEOUT_MIN_US (60ULL * TS_US_PER_MS)
 #define SILENCE_TIMEOUT_DEFAULT_US (500ULL * TS_US_PER_MS)
@@ -51,7 +52,7 @@
 
 ts_error_t ts_front_readiness(const ts_front_t *front)
 {
-    if (front->is_stopping) {
+    if (front->has_stopped_accepting) {
         return TS_E_STOPPING;
     }
     bool has_view = ts_directory_view(front->directory) != NULL;
@@ -354,7 +355,7 @@
 {
     ts_front_t *front = timer->data;
     const ts_plugin_t *plugin = NULL;
-    front->is_stopping = true;
+    front->has_stopped_accepting = true;
     while ((plugin = ts_plugin_next(TS_PLUGIN_CALLER_API, plugin)) != NULL) {
         ((const ts_caller_api_t *)plugin->ops)->drain();
     }
@@ -374,7 +375,7 @@
 static bool is_front_idle(ts_node_t *node)
 {
     const ts_front_t *front = ts_node_state(node, "front");
-    return front->is_stopping && g_hash_table_size(front->queries) == 0;
+    return front->has_stopped_accepting && g_hash_table_size(front->queries) == 0;
 }
 
 static void describe_front(ts_node_t *node, json_t *status)
--- a/src/front/front_internal.h
+++ b/src/front/front_internal.h
@@ -9,7 +9,9 @@
 
 /** Latencies, budgets and load shedding for one kind of query. */
 typedef struct ts_kind_stats {
-    ts_histogram_t latencies; /**< of subrequests (cancelled ones: age); old samples decay */
+    /** Latencies of answered subrequests and ages of cancelled ones that are not hedges. Old
+     * samples decay. */
+    ts_histogram_t latencies;
     ts_budget_t hedges;
     ts_budget_t retries;
     ts_shedder_t shedder; /**< admission before fan-out */
@@ -24,21 +26,22 @@
     ts_task_t *mesh;
     ts_declarations_t *declarations;
     ts_directory_t *directory;
-    GHashTable *kinds;     /**< kind -> ts_kind_stats_t, owned */
-    GHashTable *attempts;  /**< &counter -> ts_attempt_t, owned */
-    GHashTable *queries;   /**< set of ts_query_t, owned */
-    uint64_t next_counter; /**< next subrequest id; the high half identifies this incarnation */
+    GHashTable *kinds;    /**< kind -> ts_kind_stats_t, owned */
+    GHashTable *attempts; /**< &counter -> ts_attempt_t, owned */
+    GHashTable *queries;  /**< set of ts_query_t, owned */
+    /** Next ts_part_t.counter: hash of node name and incarnation in the high half, then a count. */
+    uint64_t next_counter;
     uint64_t random_state;
     ts_timer_t silence_timer;   /**< checks for silent peers */
-    ts_timer_t lame_duck_timer; /**< from the stop until queries are refused */
+    ts_timer_t lame_duck_timer; /**< fires LAME_DUCK_MS after the stop; then queries are refused */
     bool has_been_ready;
-    bool is_stopping; /**< queries are refused */
+    bool has_stopped_accepting; /**< queries are refused */
 };
 
 struct ts_query {
     ts_front_t *front;
     ts_query_request_t request;
-    ts_work_t *work;
+    ts_work_t *work; /**< sent with all subrequests; built from request and selector */
     ts_declarations_t *declarations; /**< referenced until the query ends */
     const ts_selector_t *selector;
     ts_kind_stats_t *stats;
@@ -61,27 +64,40 @@
 /** Fresh random bits. */
 uint64_t ts_front_next_random(ts_front_t *front);
 
-/** Plans and sends a new query; it may finish at once. */
+/**
+ * Plans and sends a new query. If it finishes at once, `is_finished` is set. A finished or
+ * abandoned query is freed in the next loop iteration.
+ */
 void ts_query_start(ts_query_t *query);
-/** Handles the reply to an attempt, and ends the attempt. */
+/**
+ * Ends and frees an attempt and handles its reply, which may finish the query. The hits may be
+ * moved out of `subreply`.
+ */
 void ts_query_handle_reply(ts_attempt_t *attempt, ts_subreply_t *subreply);
-/** Frees a query when the node shuts down; sends nothing and does not call the callback. */
+/** Frees a query at once, when the node shuts down. Sends nothing, does not call the callback. */
 void ts_query_discard(ts_query_t *query);
 /** Ends a query without calling its callback. */
 void ts_query_abandon(ts_query_t *query);
 
-/** Parts that a query sends in one step, grouped by owner. */
+/**
+ * The attempts that a query sends in one step, batched into one message per owner. A ts_part_t is
+ * the entry of an attempt in that message.
+ */
 typedef struct ts_dispatch ts_dispatch_t;
 ts_dispatch_t *ts_dispatch_begin(ts_query_t *query);
 /**
- * Adds one attempt for a fragment. Returns TS_OK, or TS_E_NO_REPLICA if the replica's backend has
- * no owner.
+ * Adds one attempt. `fragment_index` is an index into the query's fragments, `replica_index` into
+ * the fragment's replicas; `wanted_snapshot` is the preferred index version, 0 for any. Returns
+ * TS_OK, or TS_E_NO_REPLICA if the replica's backend has no owner.
  */
-ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t fragment, uint32_t replica_index,
+ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t fragment_index, uint32_t replica_index,
                            uint64_t wanted_snapshot, bool is_hedge);
 /** Sends the parts, one message per owner, and frees the dispatch. */
 void ts_dispatch_send(ts_dispatch_t *dispatch);
-/** Ends and frees an attempt; with `cancel` it is also cancelled at its broker. */
+/**
+ * Ends and frees an attempt. With `cancel` it is cancelled at its peer, and its age is recorded as
+ * a lower bound of its latency.
+ */
 void ts_attempt_end(ts_attempt_t *attempt, bool cancel);
 
 /** Merges the hits of a snapshot and calls the query's callback with the answer. */
--- a/src/front/query.c
+++ b/src/front/query.c
@@ -176,7 +176,7 @@
 static bool may_hedge(const ts_query_t *query, const ts_fragment_t *fragment)
 {
     return fragment->state == TS_FRAGMENT_WAITING && fragment->attempts_in_flight == 1 &&
-           !fragment->is_hedge_decided && fragment->replica_count > 1 &&
+           !fragment->is_hedge_attempted && fragment->replica_count > 1 &&
            fragment->attempts_made < TS_ATTEMPTS_MAX && !query->work->unrepeatable;
 }
 
@@ -192,7 +192,7 @@
         if (!may_hedge(query, fragment) || now_us - fragment->attempts[0]->sent_us < age_us) {
             continue;
         }
-        fragment->is_hedge_decided = true;
+        fragment->is_hedge_attempted = true;
         if (!query->front->policy->unlimited_hedges && !ts_budget_spend(&query->stats->hedges)) {
             ts_count(TS_COUNTER_HEDGES_DENIED, 1);
             continue;
@@ -462,11 +462,12 @@
 void ts_query_handle_reply(ts_attempt_t *attempt, ts_subreply_t *subreply)
 {
     ts_query_t *query = attempt->query;
-    ts_fragment_t *fragment = &query->fragments[attempt->fragment];
+    ts_fragment_t *fragment = &query->fragments[attempt->fragment_index];
     ts_time_us_t now_us = ts_clock_now_us();
     ts_time_us_t latency_us = now_us - attempt->sent_us;
     uint64_t wanted = attempt->wanted_snapshot;
-    ts_directory_learn(query->front->directory, attempt->replica, subreply, latency_us, now_us);
+    ts_directory_record_reply(query->front->directory, attempt->replica, subreply, latency_us,
+                              now_us);
     ts_attempt_end(attempt, false);
     if (subreply->error == TS_OK) {
         handle_answer(query, fragment, subreply, latency_us, wanted);
