--- a/include/tealspar/directory.h
+++ b/include/tealspar/directory.h
@@ -1,6 +1,6 @@
 /**
- * The front's directory: which node owns each back end, and what this front has learned of each
- * back end from the replies. Belongs to the front task.
+ * The front's directory: the owner of each backend, and load, service time and failures of each
+ * backend as observed in replies. Belongs to the front task.
  */
 #ifndef TEALSPAR_DIRECTORY_H
 #define TEALSPAR_DIRECTORY_H
@@ -8,56 +8,75 @@
 #include "tealspar/messages.h"
 #include "tealspar/route-t.h"
 
-/** What the front knows of one back end; kept across configurations by id. */
+/**
+ * State of one backend as known to the front, for all of its shards ("replica" of a shard: one of
+ * the backends that serve it). Records are found by backend id and kept until the directory is
+ * destroyed, so they survive a change of the declarations.
+ */
 typedef struct ts_replica {
     uint64_t id;
-    uint32_t in_flight;
-    uint32_t slots_in_use;
-    uint32_t queue_length;
-    ts_time_us_t hint_us; /**< when the two above were learned */
-    double service_us;
-    uint64_t snapshot;
-    ts_time_us_t avoid_until_us;
-    uint32_t failures;       /**< in a row */
-    ts_time_us_t learned_us; /**< when service_us was last learned */
-    uint64_t epoch;          /**< of the owner below */
-    const ts_view_member_t *owner;
+    uint32_t in_flight;    /**< subrequests from this front */
+    uint32_t slots_in_use; /**< reported by its owner in the last reply; 0 after TS_E_PEER_LOST */
+    uint32_t queue_length; /**< the same */
+    ts_time_us_t load_updated_us;    /**< when slots_in_use and queue_length were set; 0: never */
+    double service_us;               /**< moving average; 0: unknown */
+    uint64_t snapshot;               /**< index version of the last reply; 0: unknown */
+    ts_time_us_t avoid_until_us;     /**< avoided until then; 0: not avoided */
+    uint32_t failures;               /**< consecutive */
+    ts_time_us_t service_updated_us; /**< when service_us was last updated */
+    uint64_t owner_view_count;       /**< the directory's count of views when `owner` was set */
+    const ts_view_member_t *owner;   /**< NULL: none; points into the view */
 } ts_replica_t;
 
 typedef struct ts_directory ts_directory_t;
 
 ts_directory_t *ts_directory_create(void);
 void ts_directory_destroy(ts_directory_t *directory);
-/** Takes a new view; owners are worked out again when next asked for. */
+/** Sets a new view; owners are recomputed when next requested. */
 void ts_directory_set_view(ts_directory_t *directory, ts_view_t *view);
-/** The view in use, or NULL. */
+/** The current view, or NULL. */
 const ts_view_t *ts_directory_view(const ts_directory_t *directory);
-/** The record of a back end; made when first asked for. */
-ts_replica_t *ts_directory_replica(ts_directory_t *directory, const ts_backend_t *backend);
-/** The owner of a back end, or NULL when no member may own it. */
+/** The record of a backend; created on first use. Valid as long as the directory. */
+ts_replica_t *ts_directory_ensure_replica(ts_directory_t *directory, const ts_backend_t *backend);
+/** The owner of a backend by the current view (see ts_view_owner()), or NULL if there is none. */
 const ts_view_member_t *ts_directory_owner(ts_directory_t *directory, const ts_backend_t *backend);
-/** Learns from a reply: load, service time and snapshot, or a failure to keep away from. */
-void ts_directory_learn(ts_directory_t *directory, ts_replica_t *replica,
-                        const ts_subreply_t *subreply, ts_time_us_t latency_us,
-                        ts_time_us_t now_us);
 /**
- * Learns from an attempt that was cancelled unanswered: its service takes at least its age. Without
- * this a slow replica whose requests are always hedged away would keep its good name.
+ * Records a reply, or the failure of an attempt without a reply. A success updates load, service
+ * time and snapshot. An error updates the load; if it is caused by the backend or its owner, the
+ * backend is avoided for a time that doubles with each consecutive failure up to a maximum, or for
+ * the reply's retry_after_ms if that is longer.
+ */
+void ts_directory_record_reply(ts_directory_t *directory, ts_replica_t *replica,
+                               const ts_subreply_t *subreply, ts_time_us_t latency_us,
+                               ts_time_us_t now_us);
+/**
+ * Records an attempt that was cancelled before its reply. Its age is a lower bound of its latency;
+ * the age minus the mean overhead counts as a service time if that raises the average and the last
+ * reported queue was empty. Without this, a slow replica whose attempts are always cancelled in
+ * favor of a hedge would keep a low service time.
  */
-void ts_directory_learn_censored(ts_directory_t *directory, ts_replica_t *replica,
-                                 ts_time_us_t age_us, ts_time_us_t now_us);
-/** Notes that a subrequest goes to a peer, or that its reply came or will not come any more. */
+void ts_directory_record_cancelled(ts_directory_t *directory, ts_replica_t *replica,
+                                   ts_time_us_t age_us, ts_time_us_t now_us);
+/** A subrequest was sent to `peer`, which may be TS_PEER_SELF; it is outstanding until its end. */
 void ts_directory_note_sent(ts_directory_t *directory, uint64_t peer, ts_time_us_t now_us);
-void ts_directory_note_heard(ts_directory_t *directory, uint64_t peer);
+/** A reply arrived: the peer is not silent. The end of the subrequest is noted separately. */
+void ts_directory_note_reply(ts_directory_t *directory, uint64_t peer);
+/** A subrequest is no longer outstanding: replied to, failed or cancelled. */
 void ts_directory_note_ended(ts_directory_t *directory, uint64_t peer);
 /**
- * Peers that have turned silent since the last call: several subrequests are out and nothing has
- * come back for `bound_us`. An array of uint64_t; the caller frees it.
+ * Peers that have become silent since the last call: several subrequests are outstanding
+ * (SILENT_OUTSTANDING_MIN), and `timeout_us` has passed without a reply since the first one that
+ * was sent after the last reply. Returns an array of uint64_t, freed by the caller.
+ */
+GArray *ts_directory_find_silent_peers(ts_directory_t *directory, ts_time_us_t timeout_us,
+                                       ts_time_us_t now_us);
+/**
+ * Fills in a candidate except its field `backend`; `tried` is set to false. `avoid` is set while
+ * failures require it, or if the owner is a silent peer. Once per SILENT_PROBE_INTERVAL_US a call
+ * disregards the silence, so that a subrequest can find out whether the owner replies again; that
+ * call also schedules the next probe, even if the candidate is not selected.
  */
-GArray *ts_directory_find_silent(ts_directory_t *directory, ts_time_us_t bound_us,
-                                 ts_time_us_t now_us);
-/** Fills the candidate of one back end. */
-void ts_directory_describe(ts_directory_t *directory, const ts_backend_t *backend,
-                           ts_time_us_t now_us, ts_candidate_t *candidate);
+void ts_directory_fill_candidate(ts_directory_t *directory, const ts_backend_t *backend,
+                                 ts_time_us_t now_us, ts_candidate_t *candidate);
 
 #endif
--- a/src/broker/owned.c
+++ b/src/broker/owned.c
@@ -1,4 +1,4 @@
-/** One owned back end: its slots, its queue, its health. */
+/** One owned backend: its slots, queue and health. */
 #include <string.h>
 
 #include "broker_internal.h"
@@ -7,15 +7,17 @@
 #include "tealspar/hash.h"
 #include "tealspar/log.h"
 
-#define QUEUE_PER_SLOT 8U
-#define SERVICE_WEIGHT 0.1
-#define HEALTH_PERIOD_US (1000ULL * TS_US_PER_MS)
-#define DRAIN_TOLD_US (3ULL * TS_US_PER_S)
-#define HEALTH_RETRY_US (200ULL * TS_US_PER_MS)
-/* Half of the connections: should an old owner still hold its own, the limit is kept. */
-#define CONNECTION_SHARE 2U
+#define QUEUE_LENGTH_PER_SLOT 8U
+#define SERVICE_EWMA_ALPHA 0.1
+#define HEALTH_INTERVAL_US (1000ULL * TS_US_PER_MS)
+/* How long a drain reported in a reply takes precedence over the health check. */
+#define DRAIN_REPORT_TTL_US (3ULL * TS_US_PER_S)
+#define HEALTH_RETRY_INTERVAL_US (200ULL * TS_US_PER_MS)
+/* An owner uses half of the declared connections, so that the total stays within the limit while a
+   previous owner still holds its own. */
+#define CONNECTION_DIVISOR 2U
 
-static void check_health(ts_owned_t *owned);
+static void check_health(ts_owned_backend_t *owned);
 
 const char *ts_owned_state_name(ts_owned_state_t state)
 {
@@ -24,9 +26,9 @@
     return names[state];
 }
 
-ts_owned_t *ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend)
+ts_owned_backend_t *ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend)
 {
-    ts_owned_t *owned = g_new0(ts_owned_t, 1);
+    ts_owned_backend_t *owned = g_new0(ts_owned_backend_t, 1);
     owned->broker = broker;
     owned->id = backend->id;
     owned->name = g_strdup(backend->name);
@@ -42,12 +44,12 @@
     owned->owned_since_ms = ts_clock_wall_ms();
     owned->is_foreign = strcmp(backend->zone, broker->node->settings->zone) != 0;
     broker->client->open(&owned->searcher, broker->node, backend->address,
-                         backend->connections / CONNECTION_SHARE);
+                         backend->connections / CONNECTION_DIVISOR);
     check_health(owned);
     return owned;
 }
 
-void ts_owned_free(ts_owned_t *owned)
+void ts_owned_free(ts_owned_backend_t *owned)
 {
     owned->broker->client->close(owned->searcher);
     g_ptr_array_free(owned->running, TRUE);
@@ -58,28 +60,28 @@
     g_free(owned);
 }
 
-void ts_owned_set_state(ts_owned_t *owned, ts_owned_state_t state)
+void ts_owned_set_state(ts_owned_backend_t *owned, ts_owned_state_t state)
 {
     if (owned->state == state || owned->state == TS_OWNED_RETIRED) {
         return;
     }
     ts_log(TS_EVENT_BACKEND_STATE, "%s: %s to %s", owned->name, ts_owned_state_name(owned->state),
            ts_owned_state_name(state));
-    /* Begin with half of the slots, as an earlier owner may still have work there; after a failure
-       begin with one. */
-    bool is_first = owned->state == TS_OWNED_CHECKING && state == TS_OWNED_SERVING;
+    /* After a takeover or a stall, start with half of the slots, as another owner may still have
+       requests running there; after a failure start with one. */
+    bool has_passed_check = owned->state == TS_OWNED_CHECKING && state == TS_OWNED_SERVING;
     owned->state = state;
-    if (is_first) {
-        owned->allowed = MAX(1U, owned->slots / 2);
+    if (has_passed_check) {
+        owned->slots_allowed = MAX(1U, owned->slots / 2);
     } else if (state != TS_OWNED_SERVING) {
-        owned->allowed = 1;
+        owned->slots_allowed = 1;
     }
     if (state == TS_OWNED_DRAINING) {
         ts_owned_refuse_waiting(owned, TS_E_DRAINING);
     }
 }
 
-const char *ts_owned_find_shard(const ts_owned_t *owned, uint64_t shard)
+const char *ts_owned_find_shard(const ts_owned_backend_t *owned, uint64_t shard)
 {
     for (char **name = owned->shards; *name != NULL; name++) {
         if (ts_hash_text(*name) == shard) {
@@ -89,7 +91,7 @@
     return NULL;
 }
 
-static uint32_t count_kind(const ts_owned_t *owned, const char *kind)
+static uint32_t count_kind(const ts_owned_backend_t *owned, const char *kind)
 {
     uint32_t count = 0;
     for (guint i = 0; i < owned->running->len; i++) {
@@ -99,36 +101,37 @@
     return count;
 }
 
-static ts_time_us_t time_left(const ts_job_t *job, ts_time_us_t now_us)
+static ts_time_us_t time_left_us(const ts_job_t *job, ts_time_us_t now_us)
 {
     return job->work->deadline_us > now_us ? job->work->deadline_us - now_us : 0;
 }
 
 /* ---- running ---- */
 
-static void run_next(ts_owned_t *owned);
+static void run_next(ts_owned_backend_t *owned);
 
-static void learn_service(ts_owned_t *owned, const ts_subreply_t *subreply)
+static void update_service_time(ts_owned_backend_t *owned, const ts_subreply_t *subreply)
 {
     double service = subreply->service_us;
-    owned->service_us = owned->service_us <= 0
-                            ? service
-                            : owned->service_us + SERVICE_WEIGHT * (service - owned->service_us);
+    owned->service_us =
+        owned->service_us <= 0
+            ? service
+            : owned->service_us + SERVICE_EWMA_ALPHA * (service - owned->service_us);
     ts_observe_us(TS_HISTOGRAM_SERVICE_TIME, subreply->service_us);
-    owned->allowed = MIN(owned->allowed + 1, owned->slots);
+    owned->slots_allowed = MIN(owned->slots_allowed + 1, owned->slots);
 }
 
-static void learn_outcome(ts_owned_t *owned, const ts_subreply_t *subreply)
+static void apply_outcome(ts_owned_backend_t *owned, const ts_subreply_t *subreply)
 {
     switch (subreply->error) {
     case TS_OK:
-        learn_service(owned, subreply);
+        update_service_time(owned, subreply);
         if (owned->state != TS_OWNED_CHECKING && owned->state != TS_OWNED_DRAINING) {
             ts_owned_set_state(owned, TS_OWNED_SERVING);
         }
         break;
     case TS_E_DRAINING:
-        owned->drain_told_us = ts_clock_now_us();
+        owned->drain_reported_us = ts_clock_now_us();
         ts_owned_set_state(owned, TS_OWNED_DRAINING);
         break;
     case TS_E_CONNECT:
@@ -136,48 +139,48 @@
         owned->health_due_us = 0;
         break;
     case TS_E_SHEDDING:
-        owned->allowed = MAX(1U, owned->allowed / 2);
+        owned->slots_allowed = MAX(1U, owned->slots_allowed / 2);
         break;
     default:
         break;
     }
 }
 
-static void take_result(void *context, ts_subreply_t *subreply)
+static void handle_result(void *context, ts_subreply_t *subreply)
 {
     ts_job_t *job = context;
-    ts_owned_t *owned = job->owned;
+    ts_owned_backend_t *owned = job->owned;
     g_ptr_array_remove_fast(owned->running, job);
     ts_count(TS_COUNTER_BROKER_SLOTS_IN_USE, -1);
     ts_count(TS_COUNTER_SEARCHER_ERRORS, subreply->error != TS_OK);
-    learn_outcome(owned, subreply);
+    apply_outcome(owned, subreply);
     job->call = NULL;
-    subreply->queue_us = (uint32_t)(job->started_us - job->taken_us);
+    subreply->queue_us = (uint32_t)(job->started_us - job->received_us);
     ts_job_reply(job, subreply);
     run_next(owned);
 }
 
-static void run_job(ts_owned_t *owned, ts_job_t *job)
+static void run_job(ts_owned_backend_t *owned, ts_job_t *job)
 {
     job->started_us = ts_clock_now_us();
     g_ptr_array_add(owned->running, job);
     ts_count(TS_COUNTER_BROKER_SLOTS_IN_USE, 1);
     ts_count(TS_COUNTER_SEARCHER_REQUESTS, 1);
-    ts_observe_us(TS_HISTOGRAM_QUEUE_TIME, job->started_us - job->taken_us);
+    ts_observe_us(TS_HISTOGRAM_QUEUE_TIME, job->started_us - job->received_us);
     job->call = owned->broker->client->search(
         owned->searcher, job->work, ts_owned_find_shard(owned, job->part.shard),
-        job->part.wanted_snapshot, time_left(job, job->started_us), take_result, job);
+        job->part.wanted_snapshot, time_left_us(job, job->started_us), handle_result, job);
 }
 
-/* The waiting job of the highest rank that may have a slot, or NULL. */
-static ts_job_t *choose_waiting(const ts_owned_t *owned, ts_time_us_t now_us)
+/* The highest-ranked waiting job that may use a slot now, or NULL. */
+static ts_job_t *choose_waiting(const ts_owned_backend_t *owned, ts_time_us_t now_us)
 {
     ts_job_t *best = NULL;
     double best_rank = -1;
     for (guint i = 0; i < owned->waiting->len; i++) {
         ts_job_t *job = g_ptr_array_index(owned->waiting, i);
-        double rank = ts_admission_rank(job->work->priority, now_us - job->taken_us);
-        if (rank > best_rank && ts_admission_has_slot(owned->allowed, owned->running->len,
+        double rank = ts_admission_rank(job->work->priority, now_us - job->received_us);
+        if (rank > best_rank && ts_admission_has_slot(owned->slots_allowed, owned->running->len,
                                                       count_kind(owned, job->work->kind),
                                                       job->work->slot_share_percent)) {
             best = job;
@@ -187,19 +190,19 @@
     return best;
 }
 
-static void remove_waiting(ts_owned_t *owned, ts_job_t *job)
+static void remove_waiting(ts_owned_backend_t *owned, ts_job_t *job)
 {
     g_ptr_array_remove_fast(owned->waiting, job);
     ts_count(TS_COUNTER_BROKER_QUEUED, -1);
 }
 
-static void run_next(ts_owned_t *owned)
+static void run_next(ts_owned_backend_t *owned)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     ts_job_t *job = NULL;
     while ((job = choose_waiting(owned, now_us)) != NULL) {
         remove_waiting(owned, job);
-        if (time_left(job, now_us) == 0) {
+        if (time_left_us(job, now_us) == 0) {
             ts_job_refuse(job, TS_E_PAST_DEADLINE);
         } else {
             run_job(owned, job);
@@ -207,9 +210,9 @@
     }
 }
 
-/* ---- taking ---- */
+/* ---- admission ---- */
 
-static ts_error_t refusal_of_state(ts_owned_state_t state)
+static ts_error_t state_error(ts_owned_state_t state)
 {
     switch (state) {
     case TS_OWNED_CHECKING:
@@ -226,7 +229,8 @@
     return TS_E_NOT_OWNER;
 }
 
-static ts_admission_input_t describe_load(const ts_owned_t *owned, const ts_job_t *job)
+static ts_admission_input_t make_admission_input(const ts_owned_backend_t *owned,
+                                                 const ts_job_t *job)
 {
     uint32_t ahead = 0;
     for (guint i = 0; i < owned->waiting->len; i++) {
@@ -234,21 +238,21 @@
         ahead += other->work->priority >= job->work->priority;
     }
     ts_admission_input_t input = {
-        .slots = owned->allowed,
+        .slots = owned->slots_allowed,
         .slots_in_use = owned->running->len,
         .kind_in_use = count_kind(owned, job->work->kind),
         .kind_share_percent = job->work->slot_share_percent,
         .queue_ahead = ahead,
         .queue_length = owned->waiting->len,
-        .queue_max = owned->slots * QUEUE_PER_SLOT,
+        .queue_max = owned->slots * QUEUE_LENGTH_PER_SLOT,
         .service_us = owned->service_us,
-        .left_us = time_left(job, job->taken_us),
+        .left_us = time_left_us(job, job->received_us),
     };
     return input;
 }
 
-/* Makes room in a full queue by refusing the lowest-ranked job below this one's priority. */
-static bool displace_lower(ts_owned_t *owned, const ts_job_t *job)
+/* Makes room in a full queue by refusing the job of the lowest priority, if below this one's. */
+static bool displace_lower_priority(ts_owned_backend_t *owned, const ts_job_t *job)
 {
     ts_job_t *lowest = NULL;
     for (guint i = 0; i < owned->waiting->len; i++) {
@@ -266,16 +270,16 @@
     return true;
 }
 
-void ts_owned_submit(ts_owned_t *owned, ts_job_t *job)
+void ts_owned_submit(ts_owned_backend_t *owned, ts_job_t *job)
 {
-    ts_error_t error = refusal_of_state(owned->state);
+    ts_error_t error = state_error(owned->state);
     if (error != TS_OK) {
         ts_job_refuse(job, error);
         return;
     }
-    ts_admission_input_t input = describe_load(owned, job);
+    ts_admission_input_t input = make_admission_input(owned, job);
     ts_admission_t admission = ts_admission_decide(&input, &error);
-    if (error == TS_E_QUEUE_FULL && displace_lower(owned, job)) {
+    if (error == TS_E_QUEUE_FULL && displace_lower_priority(owned, job)) {
         admission = TS_ADMIT_QUEUE;
     }
     switch (admission) {
@@ -294,12 +298,12 @@
     }
 }
 
-/* ---- ending ---- */
+/* ---- cancellation, deadlines and health ---- */
 
-/* Takes a job out of its slot or out of the queue, without a reply. */
-static void withdraw(ts_job_t *job)
+/* Removes a job from its slot or from the queue, without a reply. */
+static void detach_job(ts_job_t *job)
 {
-    ts_owned_t *owned = job->owned;
+    ts_owned_backend_t *owned = job->owned;
     if (job->call == NULL) {
         remove_waiting(owned, job);
         return;
@@ -312,13 +316,13 @@
 
 void ts_owned_cancel(ts_job_t *job)
 {
-    ts_owned_t *owned = job->owned;
+    ts_owned_backend_t *owned = job->owned;
     bool is_unrepeatable = job->work->unrepeatable;
     bool is_running = job->call != NULL;
     if (is_unrepeatable && is_running) {
-        return; /* its outcome is wanted for a repeat */
+        return; /* its outcome is stored for a repeat */
     }
-    withdraw(job);
+    detach_job(job);
     ts_count(TS_COUNTER_BROKER_CANCELLED, 1);
     if (is_unrepeatable) {
         ts_idempotency_release(owned->broker->idempotency, job->work->request_id);
@@ -328,7 +332,7 @@
     run_next(owned);
 }
 
-void ts_owned_refuse_waiting(ts_owned_t *owned, ts_error_t error)
+void ts_owned_refuse_waiting(ts_owned_backend_t *owned, ts_error_t error)
 {
     while (owned->waiting->len > 0) {
         ts_job_t *job = g_ptr_array_index(owned->waiting, 0);
@@ -337,80 +341,82 @@
     }
 }
 
-static void expire_running(ts_owned_t *owned, ts_time_us_t now_us)
+static void expire_running(ts_owned_backend_t *owned, ts_time_us_t now_us)
 {
     for (guint i = owned->running->len; i > 0; i--) {
         ts_job_t *job = g_ptr_array_index(owned->running, i - 1);
-        if (time_left(job, now_us) > 0) {
+        if (time_left_us(job, now_us) > 0) {
             continue;
         }
         ts_subreply_t subreply = {.error = TS_E_DEADLINE, .run = TS_RUN_MAYBE};
         subreply.service_us = (uint32_t)(now_us - job->started_us);
-        withdraw(job);
+        detach_job(job);
         ts_job_reply(job, &subreply);
     }
 }
 
-static void expire_waiting(ts_owned_t *owned, ts_time_us_t now_us)
+static void expire_waiting(ts_owned_backend_t *owned, ts_time_us_t now_us)
 {
     for (guint i = owned->waiting->len; i > 0; i--) {
         ts_job_t *job = g_ptr_array_index(owned->waiting, i - 1);
-        if (time_left(job, now_us) == 0) {
+        if (time_left_us(job, now_us) == 0) {
             remove_waiting(owned, job);
             ts_job_refuse(job, TS_E_PAST_DEADLINE);
         }
     }
 }
 
-/* What a reply said of draining outlives what the lagging endpoint still says. */
-static bool is_late_news(const ts_owned_t *owned, ts_searcher_health_t health)
+/* Whether to ignore a health result: the health endpoint may lag behind a drain that was reported
+   in a reply. */
+static bool is_outdated_health(const ts_owned_backend_t *owned, ts_searcher_health_t health)
 {
     return owned->state == TS_OWNED_DRAINING && health == TS_HEALTH_SERVING &&
-           ts_clock_now_us() - owned->drain_told_us < DRAIN_TOLD_US;
+           ts_clock_now_us() - owned->drain_reported_us < DRAIN_REPORT_TTL_US;
 }
 
-static void take_health(void *context, ts_searcher_health_t health)
+static void handle_health(void *context, ts_searcher_health_t health)
 {
     static const ts_owned_state_t states[] = {TS_OWNED_UNREACHABLE, TS_OWNED_STARTING,
                                               TS_OWNED_SERVING, TS_OWNED_DRAINING};
-    ts_owned_t *owned = context;
-    owned->health_pending = false;
+    ts_owned_backend_t *owned = context;
+    owned->is_health_pending = false;
     if (owned->is_health_stale) {
         owned->is_health_stale = false;
-        owned->health_due_us = 0; /* asked before a stall: ask again */
+        owned->health_due_us = 0; /* sent before a stall: check again */
         return;
     }
-    if (!is_late_news(owned, health)) {
+    if (!is_outdated_health(owned, health)) {
         ts_owned_set_state(owned, states[health]);
     }
-    bool is_well = health == TS_HEALTH_SERVING || health == TS_HEALTH_DRAINING;
-    owned->health_due_us = ts_clock_now_us() + (is_well ? HEALTH_PERIOD_US : HEALTH_RETRY_US);
+    bool has_started = health == TS_HEALTH_SERVING || health == TS_HEALTH_DRAINING;
+    owned->health_due_us =
+        ts_clock_now_us() + (has_started ? HEALTH_INTERVAL_US : HEALTH_RETRY_INTERVAL_US);
     run_next(owned);
 }
 
-void ts_owned_recheck(ts_owned_t *owned)
+void ts_owned_recheck(ts_owned_backend_t *owned)
 {
     if (owned->state == TS_OWNED_RETIRED) {
         return;
     }
     ts_owned_set_state(owned, TS_OWNED_CHECKING);
-    owned->allowed = 0;
-    owned->is_health_stale = owned->health_pending;
+    owned->slots_allowed = 0;
+    owned->is_health_stale = owned->is_health_pending;
     owned->health_due_us = 0;
 }
 
-static void check_health(ts_owned_t *owned)
+static void check_health(ts_owned_backend_t *owned)
 {
-    owned->health_pending = true;
-    owned->broker->client->check_health(owned->searcher, take_health, owned);
+    owned->is_health_pending = true;
+    owned->broker->client->check_health(owned->searcher, handle_health, owned);
 }
 
-void ts_owned_tick(ts_owned_t *owned, ts_time_us_t now_us)
+void ts_owned_tick(ts_owned_backend_t *owned, ts_time_us_t now_us)
 {
     expire_running(owned, now_us);
     expire_waiting(owned, now_us);
     run_next(owned);
-    if (owned->state != TS_OWNED_RETIRED && !owned->health_pending &&
+    if (owned->state != TS_OWNED_RETIRED && !owned->is_health_pending &&
         owned->health_due_us <= now_us) {
         check_health(owned);
     }
--- a/src/front/dispatch.c
+++ b/src/front/dispatch.c
@@ -1,10 +1,9 @@
-/** Sending of attempts: parts to the same owner go in one message. */
+/** Sends attempts; parts for the same owner go in one message. */
 #include <string.h>
 
 #include "front_internal.h"
 #include "tealspar/counters.h"
 
-/* Parts for one owner. */
 typedef struct owner_batch {
     uint64_t peer;
     GArray *parts;
@@ -25,7 +24,7 @@
     return dispatch;
 }
 
-static GArray *find_batch(ts_dispatch_t *dispatch, uint64_t peer)
+static GArray *ensure_batch(ts_dispatch_t *dispatch, uint64_t peer)
 {
     for (guint i = 0; i < dispatch->batches->len; i++) {
         owner_batch_t *batch = &g_array_index(dispatch->batches, owner_batch_t, i);
@@ -38,15 +37,15 @@
     return batch.parts;
 }
 
-static ts_attempt_t *create_attempt(ts_dispatch_t *dispatch, uint32_t fragment,
+static ts_attempt_t *create_attempt(ts_dispatch_t *dispatch, uint32_t fragment_index,
                                     ts_replica_t *replica, uint64_t peer)
 {
     ts_front_t *front = dispatch->query->front;
     ts_attempt_t *attempt = g_new0(ts_attempt_t, 1);
-    attempt->counter = front->counter++;
+    attempt->counter = front->next_counter++;
     attempt->peer = peer;
     attempt->query = dispatch->query;
-    attempt->fragment = fragment;
+    attempt->fragment_index = fragment_index;
     attempt->replica = replica;
     attempt->sent_us = dispatch->now_us;
     replica->in_flight++;
@@ -55,26 +54,26 @@
     return attempt;
 }
 
-ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t index, uint32_t rank,
+ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t fragment_index, uint32_t replica_index,
                            uint64_t wanted_snapshot, bool is_hedge)
 {
     ts_query_t *query = dispatch->query;
-    ts_fragment_t *fragment = &query->fragments[index];
-    const ts_backend_t *backend = &query->declarations->backends[fragment->replicas[rank]];
+    ts_fragment_t *fragment = &query->fragments[fragment_index];
+    const ts_backend_t *backend = &query->declarations->backends[fragment->replicas[replica_index]];
     const ts_view_member_t *owner = ts_directory_owner(query->front->directory, backend);
     if (owner == NULL) {
         return TS_E_NO_REPLICA;
     }
     uint64_t peer = owner->is_self ? TS_PEER_SELF : owner->id;
-    ts_replica_t *replica = ts_directory_replica(query->front->directory, backend);
-    ts_attempt_t *attempt = create_attempt(dispatch, index, replica, peer);
+    ts_replica_t *replica = ts_directory_ensure_replica(query->front->directory, backend);
+    ts_attempt_t *attempt = create_attempt(dispatch, fragment_index, replica, peer);
     attempt->is_hedge = is_hedge;
-    attempt->rank = rank;
+    attempt->replica_index = replica_index;
     attempt->wanted_snapshot = wanted_snapshot;
-    fragment->attempts[fragment->attempts_out++] = attempt;
+    fragment->attempts[fragment->attempts_in_flight++] = attempt;
     fragment->attempts_made++;
-    fragment->asked = peer;
-    fragment->tried |= 1ULL << rank;
+    fragment->last_peer = peer;
+    fragment->tried |= 1ULL << replica_index;
     fragment->state = TS_FRAGMENT_WAITING;
     ts_part_t part = {
         .counter = attempt->counter,
@@ -82,7 +81,7 @@
         .shard = query->declarations->shards[fragment->shard].id,
         .wanted_snapshot = wanted_snapshot,
     };
-    g_array_append_val(find_batch(dispatch, peer), part);
+    g_array_append_val(ensure_batch(dispatch, peer), part);
     return TS_OK;
 }
 
@@ -95,7 +94,7 @@
     bool is_local = batch->peer == TS_PEER_SELF;
     ts_count(TS_COUNTER_SUBREQUESTS, batch->parts->len);
     ts_count(TS_COUNTER_SUBREQUESTS_LOCAL, is_local ? batch->parts->len : 0);
-    ts_front_watch_silence(front);
+    ts_front_start_silence_check(front);
     ts_task_send(is_local ? front->broker : front->mesh, &message->head);
 }
 
@@ -110,22 +109,24 @@
     g_free(dispatch);
 }
 
-static void forget_attempt(ts_fragment_t *fragment, const ts_attempt_t *attempt)
+static void remove_attempt(ts_fragment_t *fragment, const ts_attempt_t *attempt)
 {
-    for (uint32_t i = 0; i < fragment->attempts_out; i++) {
+    for (uint32_t i = 0; i < fragment->attempts_in_flight; i++) {
         if (fragment->attempts[i] == attempt) {
-            fragment->attempts[i] = fragment->attempts[--fragment->attempts_out];
+            fragment->attempts[i] = fragment->attempts[--fragment->attempts_in_flight];
             return;
         }
     }
 }
 
-/* What is cancelled unanswered has taken at least its age. */
-static void learn_from_cancelled(const ts_attempt_t *attempt)
+/* The age of a cancelled attempt is a lower bound of its latency. Hedges do not enter the
+ * histogram. */
+static void record_cancelled(const ts_attempt_t *attempt)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     ts_time_us_t age_us = now_us - attempt->sent_us;
-    ts_directory_learn_censored(attempt->query->front->directory, attempt->replica, age_us, now_us);
+    ts_directory_record_cancelled(attempt->query->front->directory, attempt->replica, age_us,
+                                  now_us);
     if (!attempt->is_hedge) {
         ts_histogram_add(&attempt->query->stats->latencies, age_us);
     }
@@ -134,11 +135,11 @@
 void ts_attempt_end(ts_attempt_t *attempt, bool cancel)
 {
     ts_front_t *front = attempt->query->front;
-    forget_attempt(&attempt->query->fragments[attempt->fragment], attempt);
+    remove_attempt(&attempt->query->fragments[attempt->fragment_index], attempt);
     attempt->replica->in_flight--;
     ts_directory_note_ended(front->directory, attempt->peer);
     if (cancel) {
-        learn_from_cancelled(attempt);
+        record_cancelled(attempt);
         ts_count(TS_COUNTER_CANCELS, 1);
         ts_front_send_cancel(front, attempt->peer, attempt->counter);
     }
