--- a/bench/bench_tenants.c
+++ b/bench/bench_tenants.c
@@ -63,7 +63,7 @@
         char key[KEY_CHARS];
         compose_key(key, i * 7919U % TENANTS, i % KEYS_EACH);
         ts_key_digest_t digest = ts_key_digest(key, strlen(key));
-        found += ts_tenants_find_holder(tenants, &digest) != NULL;
+        found += ts_tenants_find_by_key(tenants, &digest) != NULL;
     }
     printf("look-up, digest and text of the key included: %.2f us, %u of %d found\n",
            us_since(begun_us) / LOOKUPS, found, LOOKUPS);
--- a/include/tealspar/address.h
+++ b/include/tealspar/address.h
@@ -1,4 +1,4 @@
-/** Addresses: an IP number with a port, never a name. */
+/** Socket addresses: an IP address with a port, not a host name. */
 #ifndef TEALSPAR_ADDRESS_H
 #define TEALSPAR_ADDRESS_H
 
@@ -9,10 +9,11 @@
 #define TS_ADDRESS_TEXT_MAX 64
 
 /**
- * Reads "1.2.3.4:80" or "[::1]:80". Returns TS_OK or TS_E_ADDRESS (a name, no port, port 0).
+ * Parses "1.2.3.4:80" or "[::1]:80". Returns TS_OK, or TS_E_ADDRESS for a host name, a missing port
+ * or port 0.
  */
 ts_error_t ts_address_parse(const char *text, struct sockaddr_storage *address);
-/** Length of the socket address for bind and connect. */
+/** Length of the address for bind() and connect(). */
 socklen_t ts_address_length(const struct sockaddr_storage *address);
 
 #endif
--- a/include/tealspar/clock.h
+++ b/include/tealspar/clock.h
@@ -1,29 +1,27 @@
 /**
- * The clock. All times inside a process are microseconds of one monotonic clock that goes on while
- * the machine is suspended, so that a belief is as old after it has woken as it is elsewhere.
- * Policy code never reads it but is given `now_us`, so that tests, the emulator and the fuzzer run
- * on a virtual one. The loop's timers stand still meanwhile: they pace work, and what they wake
- * looks at this clock; see tealspar/wake.h.
+ * The clock. All times inside a process are microseconds of one monotonic clock that keeps running
+ * while the machine is suspended, so that the age of state is right after the machine resumes.
+ * Policy code does not read the clock but gets `now_us` as an argument, so that tests, the emulator
+ * and the fuzzer can use a virtual clock. Loop timers do not advance during a suspension: they only
+ * trigger work, and their callbacks check this clock; see tealspar/stall_detector.h.
  */
 #ifndef TEALSPAR_CLOCK_H
 #define TEALSPAR_CLOCK_H
 
 #include <stdint.h>
 
-/** A point or a span of monotonic time, in microseconds. */
+/** A monotonic time or a duration, in microseconds. */
 typedef uint64_t ts_time_us_t;
 
 #define TS_US_PER_MS 1000ULL
 #define TS_US_PER_S 1000000ULL
 
-/** Monotonic time of this machine in microseconds; the origin means nothing. */
+/** Monotonic time of this machine in microseconds; the origin is arbitrary. */
 ts_time_us_t ts_clock_now_us(void);
-/** Wall-clock time in milliseconds since 1970, used only where another party's clock is compared.
- */
+/** Unix time in milliseconds, used only for comparison with another machine's clock. */
 int64_t ts_clock_wall_ms(void);
 
-/** Puts other clocks in the place of the machine's (the simulator); NULL puts the machine's back.
- */
+/** Replaces the system clocks, for the simulator. NULL restores a system clock. */
 void ts_clock_set_source(ts_time_us_t (*now_us)(void), int64_t (*wall_ms)(void));
 
 #endif
--- a/include/tealspar/declarations-t.h
+++ b/include/tealspar/declarations-t.h
@@ -1,6 +1,6 @@
 /**
- * Types of the declarations: what operators keep in version control. Immutable once loaded and
- * counted by references; every query pins the one it began with.
+ * Types of the declarations, the configuration document of a node cluster. Immutable once loaded
+ * and reference-counted; a query holds a reference to the version with which it started.
  */
 #ifndef TEALSPAR_DECLARATIONS_T_H
 #define TEALSPAR_DECLARATIONS_T_H
@@ -10,17 +10,18 @@
 #include <stdint.h>
 #include <sys/socket.h>
 
-/** When to stop waiting for the shards that have not answered. */
+/** When to stop waiting for shards that have not answered. */
 typedef enum ts_wait_rule {
     TS_WAIT_DEADLINE, /**< wait for every shard until the deadline */
-    TS_WAIT_COVERAGE, /**< stop as soon as the least coverage is reached */
-    TS_WAIT_GAIN      /**< past the least coverage, stop when more waiting no longer pays */
+    TS_WAIT_COVERAGE, /**< stop as soon as the minimum coverage is reached */
+    TS_WAIT_GAIN /**< past the minimum coverage, stop when the expected gain of waiting is too low
+                  */
 } ts_wait_rule_t;
 
-/** Which shards of the reach one query asks. */
+/** Which of the reachable shards a query is sent to. */
 typedef enum ts_route_rule {
     TS_ROUTE_ALL, /**< every shard */
-    TS_ROUTE_KEY  /**< the one shard that the query's key hashes to */
+    TS_ROUTE_KEY  /**< the shard selected by the hash of the query's key */
 } ts_route_rule_t;
 
 typedef struct ts_zone {
@@ -28,7 +29,7 @@
     char *region;
 } ts_zone_t;
 
-/** One shard of a group; its labels are the group's. */
+/** A shard of a group; it has the labels of the group. */
 typedef struct ts_shard {
     char *name;     /**< "GROUP/NUMBER" */
     uint64_t id;    /**< hash of the name */
@@ -42,7 +43,7 @@
     uint32_t shards; /**< number of shards */
 } ts_group_t;
 
-/** One searcher. */
+/** A searcher. */
 typedef struct ts_backend {
     char *name;
     char *address;
@@ -51,33 +52,33 @@
     unsigned labels_count;
     char **shards; /**< names of the shards it holds */
     unsigned shards_count;
-    uint32_t slots;       /**< requests it works on at once */
-    uint32_t connections; /**< connections it accepts in all */
+    uint32_t slots;       /**< maximum concurrent requests */
+    uint32_t connections; /**< maximum connections from all nodes */
     uint64_t id;          /**< hash of the name */
     uint32_t zone_index;
 } ts_backend_t;
 
-/** What one kind of query may reach and under what limits. */
+/** Reachable shards and limits of one kind of query. */
 typedef struct ts_selector {
     char *kind;
-    char **groups; /**< label terms a group must match, all of them: "key=value|value" */
+    char **groups; /**< label terms, "key=value|value"; a group must match all of them */
     unsigned groups_count;
-    char **backends; /**< label terms a back end must match; none: every back end */
+    char **backends; /**< label terms that a backend must match; none: all backends */
     unsigned backends_count;
     ts_route_rule_t route;
     ts_wait_rule_t wait;
     uint32_t deadline_ms;
     double least_coverage_percent;
-    double hedge_percent;        /**< hedges, in percent of subrequests */
-    double retry_percent;        /**< retries, in percent of subrequests */
-    uint32_t priority;           /**< 0 to 9; a higher one is served first */
-    uint32_t slot_share_percent; /**< share of a back end's slots it may hold; absent: 100 */
-    uint32_t result_limit;       /**< most hits a caller may page through; absent: 100 */
-    bool unrepeatable;
+    double hedge_percent;        /**< hedge budget, in percent of subrequests */
+    double retry_percent;        /**< retry budget, in percent of subrequests */
+    uint32_t priority;           /**< 0 to 9, 9 is the highest */
+    uint32_t slot_share_percent; /**< maximum share of a backend's slots; absent: 100 */
+    uint32_t result_limit;       /**< maximum hits that a caller may page through; absent: 100 */
+    bool unrepeatable;           /**< queries must be executed at most once */
     /* Computed at load: */
-    uint32_t *reach; /**< indexes of shards, `reach_count` of them */
+    uint32_t *reach; /**< indexes of the reachable shards */
     uint32_t reach_count;
-    uint32_t *replicas;       /**< indexes of back ends, shard by shard */
+    uint32_t *replicas;       /**< indexes of backends, grouped by shard */
     uint32_t *replicas_begin; /**< reach_count + 1 offsets into replicas */
 } ts_selector_t;
 
@@ -96,8 +97,8 @@
     unsigned shards_count;
     GHashTable *backend_by_id; /**< &id -> index + 1 */
     GHashTable *shard_by_name; /**< name -> index + 1 */
-    uint64_t digest;           /**< hash of the text */
-    char *text;                /**< the document as it was read */
+    uint64_t digest;           /**< hash of `text` */
+    char *text;                /**< the source document */
     size_t text_length;
     int references;
 } ts_declarations_t;
--- a/include/tealspar/early_stop.h
+++ b/include/tealspar/early_stop.h
@@ -1,16 +1,16 @@
 /**
- * Signals to a process that has begun and does not serve yet. Until its own handlers stand, a stop
- * would end it by the signal, which looks like a crash to whoever watches, and a change of settings
- * would end it too.
+ * Signal handling during startup. Until a process installs its own handlers, SIGTERM or SIGINT
+ * would terminate it by signal, which a supervisor takes for a crash, and SIGHUP (reload of the
+ * settings) would terminate it as well.
  */
 #ifndef TEALSPAR_EARLY_STOP_H
 #define TEALSPAR_EARLY_STOP_H
 
 /**
- * From now on SIGTERM and SIGINT end the process with TS_EXIT_OK, as it has taken nothing yet, and
- * SIGHUP is passed over, as the settings are still to be read. For the begin of a command that goes
- * on until it is told to stop; its own handlers replace these.
+ * Makes SIGTERM and SIGINT exit the process with TS_EXIT_OK, as it has accepted no requests yet,
+ * and ignores SIGHUP, as the settings have not been read yet. Called at the start of a long-running
+ * command, whose own handlers replace these later.
  */
-void ts_early_stop_begin(void);
+void ts_early_stop_install_handlers(void);
 
 #endif
--- a/include/tealspar/gateway_settings.h
+++ b/include/tealspar/gateway_settings.h
@@ -1,4 +1,4 @@
-/** Settings of a gateway process: who it is, where it listens, and the bounds it keeps. */
+/** Settings of a gateway process: identity, addresses and limits. */
 #ifndef TEALSPAR_GATEWAY_SETTINGS_H
 #define TEALSPAR_GATEWAY_SETTINGS_H
 
@@ -12,52 +12,55 @@
     char *region;
 } ts_zone_setting_t;
 
-/** How late parts are treated; the last two are baselines to measure the first against. */
-typedef enum ts_late_policy {
-    TS_LATE_ADAPTIVE, /**< suspicion, second sends as late as the aim allows, answers at the aim */
-    TS_LATE_FIXED_HEDGE, /**< a second send after a fixed part of the aim; answers at the aim */
-    TS_LATE_NAIVE        /**< neither second sends for lateness nor answers before all is in */
-} ts_late_policy_t;
+/** How slow requests and parts are handled; the last two are baselines for comparison. */
+typedef enum ts_straggler_policy {
+    TS_STRAGGLER_ADAPTIVE,    /**< suspicion, hedges as late as the target latency allows, partial
+                                 responses at it */
+    TS_STRAGGLER_FIXED_HEDGE, /**< hedges after a fixed part of the target latency, partial
+                                 responses at it */
+    TS_STRAGGLER_NAIVE        /**< no hedges, no partial responses before the timeout */
+} ts_straggler_policy_t;
 
-/** Loaded from YAML; see etc/gateway.yaml for what each key means. */
+/** Loaded from YAML; etc/gateway.yaml documents the keys. */
 typedef struct ts_gateway_settings {
     char *name;
     char *zone;
-    char *dialect;    /**< name of the plug-in that speaks the deployment's dialect */
-    char *callers;    /**< "IP:port" for callers */
-    char *ready;      /**< "IP:port" where readiness is asked */
-    char *metrics;    /**< "IP:port" for counters; absent: none */
-    char *peers;      /**< "IP:port" for other gateways; absent: this one is alone */
-    char *advertised; /**< "IP:port" where others reach `peers`, if not there itself */
-    char **seeds;     /**< where some other gateways may be reached at the start */
+    char *dialect;    /**< name of the dialect plug-in */
+    char *callers;    /**< "IP:port" to listen on for callers */
+    char *ready;      /**< "IP:port" to listen on for readiness checks */
+    char *metrics;    /**< "IP:port" to listen on for metrics; absent: disabled */
+    char *peers;      /**< "IP:port" to listen on for other gateways; absent: standalone */
+    char *advertised; /**< "IP:port" under which others reach `peers`, if different */
+    char **seeds;     /**< addresses of some other gateways, for joining at the start */
     unsigned seeds_count;
     char *store; /**< "IP:port" of the configuration service */
     ts_zone_setting_t *zones;
     unsigned zones_count;
-    uint32_t drain_ms;     /**< a back end that leaves takes no new work after this */
-    uint32_t heartbeat_ms; /**< between two writes of a back end to its entry */
-    uint32_t grace_ms;     /**< from the request to stop until the process is killed */
-    double retry_ratio;    /**< extra sends for each request, over the fleet */
+    uint32_t drain_ms;     /**< time after which a draining backend gets no new requests */
+    uint32_t heartbeat_ms; /**< interval at which a backend renews its entry */
+    uint32_t grace_ms;     /**< from the stop signal until the process is killed */
+    double retry_ratio;    /**< extra sends per request, fleet-wide */
     uint32_t retry_window_ms;
-    double retry_slack;       /**< extra sends in a window beyond the ratio, over the fleet */
-    double warmup_overrun;    /**< a cold back end bears this many times its service's rate, */
-    double warmup_slack;      /**< and so many requests a second more, from the whole fleet */
-    uint32_t quota_window_ms; /**< a tenant's limit counts in each window of this length */
-    double quota_overrun;     /**< beyond the limit, in any window: this part of it, */
-    double quota_slack;       /**< and so many requests more */
-    uint32_t revoke_ms;       /**< with the next: keys are trusted for so long unconfirmed */
-    bool revoke_fail_closed;  /**< keyed requests are refused after that; else goes on */
-    ts_late_policy_t policy;
-    uint32_t without; /**< mechanisms that are switched off; bits of tealspar/mechanism.h */
+    double retry_slack;       /**< additional extra sends per window, fleet-wide */
+    double warmup_overrun;    /**< a backend in warm-up gets this multiple of its service's rate, */
+    double warmup_slack;      /**< plus this many requests per second, fleet-wide */
+    uint32_t quota_window_ms; /**< window over which a tenant's limit is measured */
+    double quota_overrun;     /**< tolerated excess per window, as a fraction of the limit, */
+    double quota_slack;       /**< plus this many requests */
+    uint32_t revoke_ms;       /**< how long keys are accepted without confirmation */
+    bool revoke_fail_closed;  /**< after `revoke_ms`, refuse requests with keys instead of accepting
+                                 them */
+    ts_straggler_policy_t policy;
+    uint32_t without; /**< disabled mechanisms; bits from tealspar/mechanism.h */
     ts_log_format_t log_format;
     ts_log_level_t log_level;
 } ts_gateway_settings_t;
 
-/** Loads settings from a text. NULL with problems listed. */
+/** Loads settings from YAML text. Returns NULL with all problems listed on failure. */
 ts_gateway_settings_t *ts_gateway_settings_load(const char *text, size_t length,
                                                 ts_problems_t *problems);
-/** Where other gateways reach this one; NULL when it is alone. */
-const char *ts_gateway_settings_reached_at(const ts_gateway_settings_t *settings);
+/** Address under which other gateways reach this one; NULL if standalone. */
+const char *ts_gateway_settings_peer_address(const ts_gateway_settings_t *settings);
 void ts_gateway_settings_free(ts_gateway_settings_t *settings);
 
 #endif
--- a/include/tealspar/histogram.h
+++ b/include/tealspar/histogram.h
@@ -1,6 +1,6 @@
 /**
- * A log-linear histogram of times: fixed memory, relative error below 1/16, mergeable. Used for
- * metrics, for the measured quantiles that set hedge and stop times, and by the lab.
+ * Log-linear histogram of durations: fixed memory, relative error below 1/16, mergeable. Used for
+ * metrics, for the quantiles that determine hedge and stop times, and by the lab.
  */
 #ifndef TEALSPAR_HISTOGRAM_H
 #define TEALSPAR_HISTOGRAM_H
@@ -20,15 +20,14 @@
     uint32_t buckets[TS_HISTOGRAM_BUCKETS];
 } ts_histogram_t;
 
-/** Index of the bucket that holds a value. */
+/** Index of the bucket for a value. */
 uint32_t ts_histogram_bucket(ts_time_us_t value_us);
-/** Largest value a bucket holds, in microseconds. */
+/** Largest value counted in a bucket, in microseconds. */
 ts_time_us_t ts_histogram_upper_us(uint32_t bucket);
-/** Adds one value. */
 void ts_histogram_add(ts_histogram_t *histogram, ts_time_us_t value_us);
-/** Value at a quantile from 0 to 1 (upper edge of its bucket), or 0 when empty. */
+/** Upper bound of the bucket that contains the quantile (0 to 1), or 0 if empty. */
 ts_time_us_t ts_histogram_quantile(const ts_histogram_t *histogram, double quantile);
-/** Halves every bucket, so that old values fade. */
+/** Halves all counts, so that old values lose weight. */
 void ts_histogram_decay(ts_histogram_t *histogram);
 
 #endif
--- a/include/tealspar/http_fetch.h
+++ b/include/tealspar/http_fetch.h
@@ -1,4 +1,4 @@
-/** One blocking HTTP request, for commands and tests; runs a loop of its own. */
+/** Blocking HTTP requests, for commands and tests, on a separate loop. */
 #ifndef TEALSPAR_HTTP_FETCH_H
 #define TEALSPAR_HTTP_FETCH_H
 
@@ -6,16 +6,16 @@
 
 #include "tealspar/http_client.h"
 
-/** What came back; free `body` with g_free. */
-typedef struct ts_http_reply_copy {
+/** Result of a request; free `body` with g_free(). */
+typedef struct ts_http_response {
     ts_error_t error;
     int status;
     char *body;
     size_t body_length;
-} ts_http_reply_copy_t;
+} ts_http_response_t;
 
-/** Sends one request and waits for the reply at most `timeout_ms`. */
-ts_http_reply_copy_t ts_http_fetch(const char *address, const char *method, const char *path,
-                                   const char *body, unsigned timeout_ms);
+/** Sends a request and waits up to `timeout_ms` for the response, else returns TS_E_DEADLINE. */
+ts_http_response_t ts_http_fetch(const char *address, const char *method, const char *path,
+                                 const char *body, unsigned timeout_ms);
 
 #endif
--- a/include/tealspar/messages.h
+++ b/include/tealspar/messages.h
@@ -1,6 +1,6 @@
 /**
- * The typed messages that tasks exchange, and the small structs they carry. Each message has one
- * creator function; the kernel destroys a message after its receiver has handled it.
+ * The typed messages exchanged by tasks, and their payload structs. Each message type has one
+ * constructor. The kernel destroys a message after the receiver has handled it.
  */
 #ifndef TEALSPAR_MESSAGES_H
 #define TEALSPAR_MESSAGES_H
@@ -15,37 +15,39 @@
 #include "tealspar/task.h"
 #include "tealspar/view.h"
 
-/** Whether work was done for a subrequest; what a refusal may promise depends on it. */
+/** Execution state of a subrequest; determines whether a refusal may be reported as not executed.
+ */
 typedef enum ts_run {
-    TS_RUN_NOT,     /**< certainly not run */
-    TS_RUN_DONE,    /**< run to its end */
-    TS_RUN_MAYBE,   /**< it may have run, or may still */
-    TS_RUN_NOT_HERE /**< not by this owner, who can't tell what one before it has run */
+    TS_RUN_NOT,     /**< not executed */
+    TS_RUN_DONE,    /**< executed to completion */
+    TS_RUN_MAYBE,   /**< may have been executed, or may still be */
+    TS_RUN_NOT_HERE /**< not executed by this owner; a previous owner may have executed it */
 } ts_run_t;
 
-/** What a query asks, the same for all its shards. Counted by references; immutable. */
+/** Parameters of a query, shared by all its subrequests. Immutable, reference-counted. */
 typedef struct ts_work {
     int references;
     char *request_id;
     char *kind;
     char *text;
     char *key;
-    uint32_t limit; /**< hits wanted from each shard */
+    uint32_t limit; /**< maximum hits per shard */
     bool unrepeatable;
-    int64_t issued_at_ms; /**< caller's wall clock; unrepeatable requests only */
+    int64_t issued_at_ms; /**< by the caller's wall clock; unrepeatable requests only */
     uint32_t priority;
     uint32_t slot_share_percent;
-    ts_time_us_t deadline_us; /**< on this process's clock */
+    ts_time_us_t deadline_us; /**< by the clock of this process */
 } ts_work_t;
 
 ts_work_t *ts_work_ref(ts_work_t *work);
 void ts_work_unref(ts_work_t *work);
 
-/** One shard to be asked of one back end. */
+/** A subrequest for one shard to one backend. */
 typedef struct ts_part {
-    uint64_t counter; /**< id of the subrequest: incarnation hash in the high half, then a count */
-    uint64_t backend; /**< ts_backend_t.id */
-    uint64_t shard;   /**< ts_shard_t.id */
+    uint64_t
+        counter; /**< subrequest id: incarnation hash in the high 32 bits, then a sequence number */
+    uint64_t backend;         /**< ts_backend_t.id */
+    uint64_t shard;           /**< ts_shard_t.id */
     uint64_t wanted_snapshot; /**< preferred index version; 0: any */
 } ts_part_t;
 
@@ -55,42 +57,42 @@
     char *text;
 } ts_hit_t;
 
-/** What came of one part. */
+/** Result of one part. */
 typedef struct ts_subreply {
     uint64_t counter;
     ts_error_t error;
     ts_run_t run;
-    uint64_t snapshot; /**< index version of the answer */
-    uint64_t total;    /**< hits in the shard, also those beyond the limit */
+    uint64_t snapshot; /**< index version that answered */
+    uint64_t total;    /**< all hits in the shard, including those beyond the limit */
     ts_hit_t *hits;
     size_t hits_count;
-    uint32_t service_us;   /**< time at the searcher */
-    uint32_t queue_us;     /**< time waiting for a slot */
-    uint32_t slots_in_use; /**< at the owner, when replying */
-    uint32_t queue_length; /**< at the owner, when replying */
+    uint32_t service_us;   /**< processing time at the searcher */
+    uint32_t queue_us;     /**< time spent waiting for a slot */
+    uint32_t slots_in_use; /**< at the owner, at the time of the reply */
+    uint32_t queue_length; /**< at the owner, at the time of the reply */
     uint32_t retry_after_ms;
 } ts_subreply_t;
 
-/** Frees the hits of a subreply, not the subreply. */
+/** Frees the hits of a subreply, but not the subreply itself. */
 void ts_subreply_clear(ts_subreply_t *subreply);
 
-/** Id of the node itself in `origin` and `peer` fields. */
+/** Id of the local node in `peer` fields. */
 #define TS_PEER_SELF 0ULL
 
-/** To a broker: parts of one query. To the mesh: the same, to be carried to `peer`. */
+/** Parts of one query: sent to the local broker, or to the mesh for delivery to `peer`. */
 typedef struct ts_subrequests_message {
     ts_message_t head;
-    uint64_t peer; /**< where it goes (mesh) or comes from (broker) */
+    uint64_t peer; /**< destination (mesh) or sender (broker) */
     ts_work_t *work;
     size_t parts_count;
     ts_part_t parts[];
 } ts_subrequests_message_t;
 
-/** Creates it with room for `parts_count` parts; takes a reference on `work`. */
+/** Creates a message with space for `parts_count` parts; takes a reference to `work`. */
 ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_work_t *work,
                                                  size_t parts_count);
 
-/** To a front: one subreply. To the mesh: the same, to be carried to `peer`. */
+/** One subreply: sent to the local front, or to the mesh for delivery to `peer`. */
 typedef struct ts_subreply_message {
     ts_message_t head;
     uint64_t peer;
@@ -99,7 +101,7 @@
 
 ts_subreply_message_t *ts_subreply_message(uint64_t peer);
 
-/** A part is no longer wanted. */
+/** Cancels a part. */
 typedef struct ts_cancel_message {
     ts_message_t head;
     uint64_t peer;
@@ -108,11 +110,11 @@
 
 ts_cancel_message_t *ts_cancel_message(uint64_t peer, uint64_t counter);
 
-/** A packed ts_wire.Gossip, in or out. */
+/** A serialized ts_wire.Gossip, received or to be sent. */
 typedef struct ts_gossip_message {
     ts_message_t head;
-    char *peer_name;    /**< the other node */
-    char *peer_address; /**< its address for nodes */
+    char *peer_name;
+    char *peer_address; /**< of the peer, for other nodes */
     uint8_t *bytes;
     size_t length;
 } ts_gossip_message_t;
@@ -120,7 +122,7 @@
 ts_gossip_message_t *ts_gossip_message(const char *peer_name, const char *peer_address,
                                        const uint8_t *bytes, size_t length);
 
-/** A connection to another node ended. */
+/** The connection to a peer was closed. */
 typedef struct ts_peer_message {
     ts_message_t head;
     uint64_t peer;
@@ -132,37 +134,40 @@
 /** One machine of the platform's list. */
 typedef struct ts_machine {
     char *name;
-    char *address; /**< for nodes */
+    char *address; /**< for other nodes */
     char *zone;
     bool leaving;
 } ts_machine_t;
 
-/** The platform's list of machines that run nodes. */
+/** The platform's list of the machines that run nodes. */
 typedef struct ts_machines_message {
     ts_message_t head;
     GPtrArray *machines; /**< of ts_machine_t, owned */
 } ts_machines_message_t;
 
 ts_machines_message_t *ts_machines_message(void);
-/** Adds a machine; texts are copied. */
+/** Adds a machine; the strings are copied. */
 void ts_machines_message_add(ts_machines_message_t *message, const char *name, const char *address,
                              const char *zone, bool leaving);
 
-/** A configuration from the platform (no peer) or from a node; or a node's wish to have it. */
+/**
+ * A configuration document from the platform or from a peer, an announcement of one, or a peer's
+ * request for it.
+ */
 typedef struct ts_document_message {
     ts_message_t head;
-    char *peer_name; /**< NULL: the platform */
+    char *peer_name; /**< NULL: from the platform */
     char *peer_address;
-    bool wanted;
+    bool wanted; /**< the peer requests the document */
     uint64_t version;
-    uint64_t digest; /**< with `version` and no text: an announcement */
-    char *text;      /**< NULL unless the document is given */
+    uint64_t digest; /**< an announcement has `version` and `digest` but no text */
+    char *text;      /**< NULL unless the message contains the document */
     size_t length;
 } ts_document_message_t;
 
 ts_document_message_t *ts_document_message(const char *peer_name, const char *peer_address);
 
-/** A configuration is in force. */
+/** A configuration has been applied. */
 typedef struct ts_declarations_message {
     ts_message_t head;
     ts_declarations_t *declarations;
@@ -170,7 +175,7 @@
 
 ts_declarations_message_t *ts_declarations_message(ts_declarations_t *declarations);
 
-/** A new view of the members. */
+/** A new membership view. */
 typedef struct ts_view_message {
     ts_message_t head;
     ts_view_t *view;
@@ -178,7 +183,7 @@
 
 ts_view_message_t *ts_view_message(ts_view_t *view);
 
-/** A stopping broker has given up all it owned and answered all it was asked. */
+/** A broker that is shutting down has released its backends and answered all subrequests. */
 ts_message_t *ts_broker_idle_message(void);
 
 #endif
--- a/include/tealspar/plugin.h
+++ b/include/tealspar/plugin.h
@@ -1,6 +1,6 @@
 /**
- * The plug-in registry. A plug-in is a constant record that registers itself before `main` by
- * `TS_REGISTER_PLUGIN`; the kernel finds plug-ins by kind and name and knows none of them.
+ * The plug-in registry. A plug-in is a static record registered before main() by
+ * `TS_REGISTER_PLUGIN`. The kernel looks plug-ins up by kind and name and does not depend on any.
  */
 #ifndef TEALSPAR_PLUGIN_H
 #define TEALSPAR_PLUGIN_H
@@ -11,26 +11,30 @@
     TS_PLUGIN_COMMAND,         /**< a subcommand of a program; `ops` is a ts_command_t */
     TS_PLUGIN_TASK,            /**< a task of a node; `ops` is a ts_task_ops_t */
     TS_PLUGIN_POLICY,          /**< a routing policy; `ops` is a ts_policy_t */
-    TS_PLUGIN_CALLER_API,      /**< how callers are spoken to; `ops` is a ts_caller_api_t */
-    TS_PLUGIN_SEARCHER_CLIENT, /**< how searchers are spoken to; `ops` is ts_searcher_client_t */
-    TS_PLUGIN_PLATFORM,        /**< how the platform is read; `ops` is a ts_platform_t */
-    TS_PLUGIN_DIALECT          /**< what a deployment speaks; `ops` is a ts_dialect_t */
+    TS_PLUGIN_CALLER_API,      /**< an API for callers; `ops` is a ts_caller_api_t */
+    TS_PLUGIN_SEARCHER_CLIENT, /**< a protocol client for searchers; `ops` is a ts_searcher_client_t
+                                */
+    TS_PLUGIN_PLATFORM,        /**< a client for the platform; `ops` is a ts_platform_t */
+    TS_PLUGIN_DIALECT          /**< the protocol dialect of a deployment; `ops` is a ts_dialect_t */
 } ts_plugin_kind_t;
 
 typedef struct ts_plugin {
     ts_plugin_kind_t kind;
     const char *name;
     const char *description;
-    int order; /**< plug-ins of one kind are visited from low to high */
+    int order; /**< plug-ins of a kind are visited in ascending order */
     const void *ops;
     struct ts_plugin *next; /**< owned by the registry */
 } ts_plugin_t;
 
-/** Adds a plug-in; called before `main`. The record must live for ever. */
+/** Registers a plug-in, before main(). The record must have static storage duration. */
 void ts_plugin_register(ts_plugin_t *plugin);
-/** The plug-in's `ops` by kind and name, or NULL. */
+/** Returns the `ops` of a plug-in, or NULL. */
 const void *ts_plugin_find(ts_plugin_kind_t kind, const char *name);
-/** The next plug-in of a kind after `previous`, in order; NULL begins and ends. */
+/**
+ * Returns the plug-in of a kind that follows `previous`, or the first if `previous` is NULL.
+ * Returns NULL at the end.
+ */
 const ts_plugin_t *ts_plugin_next(ts_plugin_kind_t kind, const ts_plugin_t *previous);
 
 #define TS_REGISTER_PLUGIN(symbol, plugin_kind, plugin_name, plugin_order, plugin_ops, text)       \
--- a/include/tealspar/runtime_uv.h
+++ b/include/tealspar/runtime_uv.h
@@ -1,4 +1,4 @@
-/** The runtime over libuv. */
+/** Runtime implementation over libuv. */
 #ifndef TEALSPAR_RUNTIME_UV_H
 #define TEALSPAR_RUNTIME_UV_H
 
@@ -12,9 +12,9 @@
     ts_tasks_t *tasks; /**< drained when the loop is woken */
 } ts_runtime_uv_t;
 
-/** Prepares a runtime on a loop. */
+/** Initializes a runtime on a loop. */
 void ts_runtime_uv_open(ts_runtime_uv_t *runtime, uv_loop_t *loop);
-/** Makes the runtime drain these tasks. */
-void ts_runtime_uv_serve(ts_runtime_uv_t *runtime, ts_tasks_t *tasks);
+/** Sets the tasks whose mailboxes are drained when the loop is woken. */
+void ts_runtime_uv_set_tasks(ts_runtime_uv_t *runtime, ts_tasks_t *tasks);
 
 #endif
--- a/include/tealspar/settings.h
+++ b/include/tealspar/settings.h
@@ -1,4 +1,4 @@
-/** Settings of one node: who it is, where it listens, and its local limits. */
+/** Settings of a node: identity, addresses and local limits. */
 #ifndef TEALSPAR_SETTINGS_H
 #define TEALSPAR_SETTINGS_H
 
@@ -10,32 +10,32 @@
 
 typedef enum ts_log_level { TS_LEVEL_NOTICE, TS_LEVEL_WARNING, TS_LEVEL_INFO } ts_log_level_t;
 
-/** The least severe level that is written at a setting, as a GLib level flag. */
+/** The least severe level that is logged, as a GLib flag. */
 GLogLevelFlags ts_log_level_flags(ts_log_level_t level);
 
-/** One node's settings; loaded from YAML and overridden by flags. */
+/** Loaded from YAML; command-line options override single keys. */
 typedef struct ts_settings {
     char *name;    /**< unique in the cluster */
-    char *cluster; /**< nodes of another cluster are strangers */
+    char *cluster; /**< messages from nodes of other clusters are refused */
     char *zone;
-    char *callers;   /**< "IP:port" for callers */
-    char *operators; /**< "IP:port" for operators: status, metrics, health */
-    char *peers;     /**< "IP:port" for other nodes */
-    char *advertise; /**< "IP:port" at which other nodes reach `peers`; absent: the same */
+    char *callers;   /**< "IP:port" to listen on for callers */
+    char *operators; /**< "IP:port" to listen on for status, metrics and health checks */
+    char *peers;     /**< "IP:port" to listen on for other nodes */
+    char *advertise; /**< "IP:port" under which other nodes reach `peers`; absent: the same */
     char *platform;  /**< "IP:port" of the platform's service */
-    char **seeds;    /**< peers' addresses to try while the platform is silent */
+    char **seeds;    /**< addresses of peers to try while the platform does not respond */
     unsigned seeds_count;
     char *policy;             /**< routing policy; absent: adaptive */
-    int *cpu;                 /**< core for nng's threads; -1 or absent: all */
-    uint32_t queries_max;     /**< queries in flight before refusing; absent: 2000 */
-    uint32_t body_bytes_max;  /**< largest request body; absent: 65536 */
-    uint32_t connections_max; /**< callers' connections; absent: 4096 */
-    uint32_t drain_ms;        /**< longest wait for queries in flight at a stop; absent: 10000 */
+    int *cpu;                 /**< CPU core for nng's threads; -1 or absent: all */
+    uint32_t queries_max;     /**< maximum queries in flight; absent: 2000 */
+    uint32_t body_bytes_max;  /**< maximum size of a request body; absent: 65536 */
+    uint32_t connections_max; /**< maximum connections of callers; absent: 4096 */
+    uint32_t drain_ms;        /**< maximum time to drain queries at shutdown; absent: 10000 */
     ts_log_format_t log_format;
     ts_log_level_t log_level;
 } ts_settings_t;
 
-/** Loads settings from a text. Returns NULL with problems listed. Ended by ts_settings_free. */
+/** Loads settings from YAML text. Returns NULL with all problems listed on failure. */
 ts_settings_t *ts_settings_load(const char *text, size_t length, ts_problems_t *problems);
 void ts_settings_free(ts_settings_t *settings);
 
--- a/include/tealspar/traffic.h
+++ b/include/tealspar/traffic.h
@@ -1,7 +1,7 @@
 /**
- * The traffic model: which request goes where, and within which limits. One version of the
- * configuration is one immutable `ts_traffic_t`, counted by references; a request keeps the one it
- * began with. Readers (our YAML, the service's document) fill it; nothing here knows their formats.
+ * Routing configuration of the gateway: routes, services, tenants and limits. Each configuration
+ * version is one immutable, reference-counted `ts_traffic_t`; a request uses the version with which
+ * it started. It is filled by readers, independently of the document format.
  */
 #ifndef TEALSPAR_TRAFFIC_H
 #define TEALSPAR_TRAFFIC_H
@@ -13,11 +13,11 @@
 #include "tealspar/problem.h"
 #include "tealspar/tenants.h"
 
-/** How a route divides its requests over services. */
+/** How a route distributes requests among services. */
 typedef enum ts_target_kind {
-    TS_TARGET_ONE,   /**< one service */
-    TS_TARGET_SPLIT, /**< one of several services, by weight */
-    TS_TARGET_GATHER /**< all of several services (shards), one part each */
+    TS_TARGET_SINGLE, /**< one service */
+    TS_TARGET_SPLIT,  /**< one of several services, chosen by weight */
+    TS_TARGET_GATHER  /**< one part to each of several services (shards) */
 } ts_target_kind_t;
 
 typedef struct ts_target {
@@ -32,31 +32,31 @@
     size_t prefix_length;
     ts_target_kind_t kind;
     GArray *targets;       /**< of ts_target_t */
-    GPtrArray *regions;    /**< where its requests may be served, interned names; NULL: anywhere */
-    bool is_open;          /**< needs no key, also where tenants are named */
-    bool is_repeatable;    /**< a request may run more than once */
-    uint32_t attempts_max; /**< most searchers that one request (one part) may be sent to */
-    uint32_t timeout_ms;   /**< longest time a request is held */
-    uint32_t aim_ms;       /**< an answer within this time earns its full worth; 0: none given */
-    uint32_t priority;     /**< 0 is the most urgent */
-    uint32_t top_count;    /**< gather: records in an answer */
-    double coverage_min;   /**< gather: least share of the parts in a success */
+    GPtrArray *regions;    /**< allowed regions, interned names; NULL: any */
+    bool is_auth_exempt;   /**< needs no key, even if there are tenants */
+    bool is_repeatable;    /**< a request may be executed more than once */
+    uint32_t attempts_max; /**< per request (per part if gathered), including the first */
+    uint32_t timeout_ms;   /**< from the arrival of a request to its response */
+    uint32_t aim_ms;       /**< target latency; 0: none */
+    uint32_t priority;     /**< 0 is the highest */
+    uint32_t top_count;    /**< gather: maximum records in a response */
+    double coverage_min;   /**< gather: minimum ratio of parts for a success */
 } ts_traffic_route_t;
 
 typedef struct ts_traffic_service {
     char *name;
     char *health_path;
-    uint32_t connections_max; /**< that one back end takes from all callers together */
-    uint32_t warmup_ms;       /**< how long a back end is slow from its start */
-    double warmup_rate;       /**< requests a second that it bears meanwhile; 0: no limit */
+    uint32_t connections_max; /**< per backend, from all gateways together */
+    uint32_t warmup_ms;       /**< duration of the warm-up after the start of a backend */
+    double warmup_rate;       /**< requests per second during the warm-up; 0: no limit */
 } ts_traffic_service_t;
 
-/** Bounds on what callers may send. */
+/** Limits on the requests and connections of callers. */
 typedef struct ts_traffic_limits {
     uint32_t head_bytes;
     uint32_t body_bytes;
-    uint32_t head_ms; /**< longest time from the first byte to the whole head */
-    uint32_t idle_ms; /**< longest rest of a connection between requests */
+    uint32_t head_ms; /**< from the first byte to the complete head */
+    uint32_t idle_ms; /**< idle timeout of a connection between requests */
 } ts_traffic_limits_t;
 
 typedef struct ts_traffic {
@@ -67,32 +67,32 @@
     GHashTable *by_host;   /**< host -> GPtrArray of routes, longest prefix first */
     GHashTable *by_name;   /**< name -> route */
     GHashTable *services;  /**< name -> ts_traffic_service_t, owned */
-    ts_tenants_t *tenants; /**< owned; empty: requests need no key */
+    ts_tenants_t *tenants; /**< owned; if empty, requests need no key */
 } ts_traffic_t;
 
-/** An empty model with the default limits; one reference. */
+/** Creates an empty configuration with the default limits and one reference. */
 ts_traffic_t *ts_traffic_create(uint64_t version);
 ts_traffic_t *ts_traffic_ref(ts_traffic_t *traffic);
 void ts_traffic_unref(ts_traffic_t *traffic);
-/** Adds an empty route; the reader fills it, then calls ts_traffic_finish. */
+/** Adds a route with default values, to be filled in before ts_traffic_finish(). */
 ts_traffic_route_t *ts_traffic_add_route(ts_traffic_t *traffic);
 void ts_traffic_route_add_target(ts_traffic_route_t *route, const char *service, double weight);
 /**
- * Names one more region in which requests of the route may be served; without any, everywhere. NULL
- * stands for one that cannot be read: the model does not pass then.
+ * Adds an allowed region to a route; without any, all regions are allowed. NULL stands for a
+ * malformed name, which makes ts_traffic_finish() fail.
  */
 void ts_traffic_route_allow_region(ts_traffic_route_t *route, const char *region);
-/** Adds a service with its name alone; the reader fills it. */
+/** Adds a service; the caller fills in the other fields. */
 ts_traffic_service_t *ts_traffic_add_service(ts_traffic_t *traffic, const char *name);
 /**
- * Checks the model as a whole and indexes it. Every contradiction is listed; returns TS_OK or
- * TS_E_INVALID. A model that does not pass is not used.
+ * Validates and indexes the configuration. Adds all errors to `problems`. Returns TS_OK, or
+ * TS_E_INVALID if the configuration must not be used.
  */
 ts_error_t ts_traffic_finish(ts_traffic_t *traffic, ts_problems_t *problems);
-/** The route of a host (a port is ignored) and a request target, or NULL. */
+/** Returns the route for a host (the port is ignored) and a request target, or NULL. */
 const ts_traffic_route_t *ts_traffic_match(const ts_traffic_t *traffic, const char *host,
                                            const char *target);
-/** The route of a name, or NULL. */
+/** Returns the route of that name, or NULL. */
 const ts_traffic_route_t *ts_traffic_find_route(const ts_traffic_t *traffic, const char *name);
 
 #endif
--- a/include/tealspar/upstream.h
+++ b/include/tealspar/upstream.h
@@ -15,7 +15,7 @@
 #include "tealspar/messages.h"
 #include "tealspar/outgoing.h"
 #include "tealspar/registry.h"
-#include "tealspar/wake.h"
+#include "tealspar/stall_detector.h"
 
 typedef struct ts_upstream ts_upstream_t;
 typedef struct ts_exchange ts_exchange_t;
@@ -40,7 +40,7 @@
 /** Who decides how many connections are kept; without it none is closed for being too many. */
 void ts_upstream_on_rest(ts_upstream_t *upstream, ts_upstream_kept_t kept, void *ctx);
 /** Who notices that this process stood still; asked when an answer is very late. */
-void ts_upstream_on_late(ts_upstream_t *upstream, ts_wake_t *wake);
+void ts_upstream_on_late(ts_upstream_t *upstream, ts_stall_detector_t *wake);
 /** This process stood still: what is out now is not timed, as its times are this node's own. */
 void ts_upstream_forget_times(ts_upstream_t *upstream);
 /** A send that left and whose connection failed before a whole answer came. */
--- a/lab/faults.c
+++ b/lab/faults.c
@@ -41,7 +41,8 @@
 static void send_control(const lab_fleet_t *fleet, const char *address, const char *body)
 {
     control_call_t *call = g_new0(control_call_t, 1);
-    ts_http_send_t send = {"POST", "/control", "connection: close\r\n", body, strlen(body)};
+    ts_http_client_request_t send = {"POST", "/control", "connection: close\r\n", body,
+                                     strlen(body)};
     if (ts_http_pool_open(&call->pool, fleet->loop, address, CONTROL_CONNECTIONS) == TS_OK) {
         ts_http_call(call->pool, &send, forget_call, call);
     }
--- a/lab/load.c
+++ b/lab/load.c
@@ -93,7 +93,7 @@
     for (guint i = 0; i < load->nodes->len; i++) {
         lab_load_node_t *node = g_ptr_array_index(load->nodes, i);
         if (!node->is_checking) {
-            ts_http_send_t send = {"GET", "/health/ready", NULL, NULL, 0};
+            ts_http_client_request_t send = {"GET", "/health/ready", NULL, NULL, 0};
             node->is_checking = true;
             ts_http_call(node->health, &send, take_health, node);
         }
--- a/lab/load_query.c
+++ b/lab/load_query.c
@@ -189,7 +189,7 @@
 {
     const lab_load_node_t *node = choose_node(query->load);
     char *body = write_body(query);
-    ts_http_send_t send = {"POST", "/v1/query", NULL, body, strlen(body)};
+    ts_http_client_request_t send = {"POST", "/v1/query", NULL, body, strlen(body)};
     query->node = node;
     query->sent_us = ts_clock_now_us();
     query->nodes_tried++;
--- a/lab/searcher_model.c
+++ b/lab/searcher_model.c
@@ -224,7 +224,7 @@
         refuse(exchange, 404, "wrong_shard");
     } else {
         lab_request_t *request = create_request(searcher, exchange, root);
-        ts_http_watch(exchange, take_gone, request);
+        ts_http_set_abandoned_callback(exchange, take_gone, request);
         if (searcher->running->len < searcher->backend->slots) {
             run_request(request);
         } else {
--- a/lab/sim.c
+++ b/lab/sim.c
@@ -329,7 +329,7 @@
 {
     lab_sim_node_t *node = &sim->nodes[index];
     if (node->is_running && !node->node.stopping) {
-        ts_node_leave(&node->node);
+        ts_node_begin_shutdown(&node->node);
         lab_sim_schedule(sim, (int)index, STOP_CHECK_US, check_stopped, NULL, node);
     }
 }
--- a/lab/sim_mesh.c
+++ b/lab/sim_mesh.c
@@ -187,7 +187,7 @@
         messages = g_ptr_array_new();
         g_hash_table_insert(node->pending, key, messages);
     }
-    message->kept = true;
+    message->is_retained = true;
     g_ptr_array_add(messages, message);
 }
 
@@ -256,7 +256,7 @@
 {
     lab_sim_node_t *simulated = lab_sim_node_of(node);
     simulated->mesh = ts_task_create(node->tasks, "mesh", handle_message, simulated);
-    ts_task_on_drained(simulated->mesh, flush);
+    ts_task_set_drained_callback(simulated->mesh, flush);
     return TS_OK;
 }
 
--- a/lab/watch.c
+++ b/lab/watch.c
@@ -88,7 +88,7 @@
     for (guint i = 0; i < watch->nodes->len; i++) {
         watched_t *watched = g_ptr_array_index(watch->nodes, i);
         if (!watched->is_out) {
-            ts_http_send_t send = {"GET", "/status", NULL, NULL, 0};
+            ts_http_client_request_t send = {"GET", "/status", NULL, NULL, 0};
             watched->is_out = true;
             ts_http_call(watched->pool, &send, take_status, watched);
         }
--- a/src/broker/searcher_http.c
+++ b/src/broker/searcher_http.c
@@ -174,7 +174,7 @@
     call->context = context;
     call->sent_us = ts_clock_now_us();
     char *body = write_request(work, shard, wanted_snapshot, left_us);
-    ts_http_send_t send = {"POST", "/search", NULL, body, strlen(body)};
+    ts_http_client_request_t send = {"POST", "/search", NULL, body, strlen(body)};
     call->call = ts_http_call(searcher->pool, &send, finish_search, call);
     free(body);
     return call;
@@ -222,7 +222,7 @@
     health_call_t *call = g_new0(health_call_t, 1);
     call->done = done;
     call->context = context;
-    ts_http_send_t send = {"GET", "/health", NULL, NULL, 0};
+    ts_http_client_request_t send = {"GET", "/health", NULL, NULL, 0};
     ts_http_call(searcher->pool, &send, finish_health, call);
 }
 
--- a/src/cli/command_gateway.c
+++ b/src/cli/command_gateway.c
@@ -68,7 +68,7 @@
     struct arg_end *end = arg_end(ERRORS_MAX);
     void *table[TABLE_SIZE] = {help, file, dry, end};
     int exit_code = TS_EXIT_OK;
-    ts_early_stop_begin();
+    ts_early_stop_install_handlers();
     if (ts_command_parse(argc, argv, table, TABLE_SIZE, "run a gateway until SIGTERM",
                          &exit_code)) {
         const char *path = file->count > 0 ? file->filename[0] : getenv(SETTINGS_VARIABLE);
--- a/src/cli/command_node.c
+++ b/src/cli/command_node.c
@@ -88,7 +88,7 @@
     struct arg_end *end = arg_end(OVERRIDES_MAX);
     void *table[TABLE_SIZE] = {help, file, overrides, dry, end};
     int exit_code = TS_EXIT_OK;
-    ts_early_stop_begin();
+    ts_early_stop_install_handlers();
     if (ts_command_parse(argc, argv, table, TABLE_SIZE, "run a node until SIGTERM", &exit_code)) {
         ts_settings_t *settings = load_settings(file->filename[0], overrides);
         exit_code = settings == NULL ? TS_EXIT_USAGE : TS_EXIT_OK;
--- a/src/cli/command_query.c
+++ b/src/cli/command_query.c
@@ -32,7 +32,7 @@
     }
 }
 
-static int print_reply(const ts_http_reply_copy_t *reply)
+static int print_reply(const ts_http_response_t *reply)
 {
     if (reply->error != TS_OK) {
         fprintf(stderr, "tealspar: %s (%s)\n", ts_error_text(reply->error),
@@ -78,7 +78,7 @@
             json_object_set_new(root, "issued_at_ms", json_integer(ts_clock_wall_ms()));
         }
         char *body = json_dumps(root, JSON_COMPACT);
-        ts_http_reply_copy_t reply =
+        ts_http_response_t reply =
             ts_http_fetch(address->sval[0], "POST", "/v1/query", body, TIMEOUT_MS);
         exit_code = print_reply(&reply);
         g_free(reply.body);
@@ -99,7 +99,7 @@
     if (ts_command_parse(argc, argv, table, STATUS_TABLE_SIZE,
                          "print a node's view of the fleet, its ownership and its configuration",
                          &exit_code)) {
-        ts_http_reply_copy_t reply =
+        ts_http_response_t reply =
             ts_http_fetch(address->sval[0], "GET", "/status", NULL, STATUS_TIMEOUT_MS);
         exit_code = print_reply(&reply);
         g_free(reply.body);
--- a/src/cli/command_routes.c
+++ b/src/cli/command_routes.c
@@ -12,7 +12,7 @@
 static const char *describe_kind(ts_target_kind_t kind)
 {
     switch (kind) {
-    case TS_TARGET_ONE:
+    case TS_TARGET_SINGLE:
         return "one service";
     case TS_TARGET_SPLIT:
         return "one of several services, by weight";
@@ -42,7 +42,7 @@
 static void print_tenants(const ts_tenants_t *tenants)
 {
     for (unsigned i = 0; i < ts_tenants_count(tenants); i++) {
-        const ts_tenant_t *tenant = ts_tenants_at(tenants, i);
+        const ts_tenant_t *tenant = ts_tenants_get(tenants, i);
         printf("tenant %s: %u keys, priority %u, ", tenant->name, tenant->keys, tenant->priority);
         print_limit(tenant);
         printf("\n");
@@ -65,7 +65,7 @@
     printf("  attempts     %u\n", route->attempts_max);
     printf("  timeout      %u ms, aim %u ms, priority %u\n", route->timeout_ms, route->aim_ms,
            route->priority);
-    printf("  key          %s\n", has_tenants && !route->is_open ? "needed" : "not needed");
+    printf("  key          %s\n", has_tenants && !route->is_auth_exempt ? "needed" : "not needed");
     print_regions(route->regions);
     if (route->kind == TS_TARGET_GATHER) {
         printf("  answer       the greatest %u records, from %g of the parts at least\n",
--- a/src/config/declarations.c
+++ b/src/config/declarations.c
@@ -36,7 +36,8 @@
     va_start(arguments, format);
     char *reason = g_strdup_vprintf(format, arguments);
     va_end(arguments);
-    unsigned line = ts_yaml_line(check->declarations->text, check->declarations->text_length, path);
+    unsigned line =
+        ts_yaml_find_line(check->declarations->text, check->declarations->text_length, path);
     ts_problems_add(check->problems, TS_E_INVALID, line, path, "%s", reason);
     g_free(reason);
 }
@@ -77,13 +78,13 @@
                          char **labels, unsigned count, bool is_term)
 {
     for (unsigned i = 0; i < count; i++) {
-        if (!ts_label_valid(labels[i], is_term)) {
+        if (!ts_label_is_valid(labels[i], is_term)) {
             add_problem(check, entry_path(list, item, field, i), "'%s' is not of the form %s",
                         labels[i], is_term ? "key=value or key=value|value" : "key=value");
             continue;
         }
         for (unsigned j = 0; is_term && j < i; j++) {
-            if (ts_label_same_key(labels[i], labels[j])) {
+            if (ts_label_has_same_key(labels[i], labels[j])) {
                 add_problem(check, entry_path(list, item, field, i),
                             "'%s' and '%s' contradict each other: one key, two terms", labels[j],
                             labels[i]);
--- a/src/config/gateway_settings.c
+++ b/src/config/gateway_settings.c
@@ -35,8 +35,9 @@
 static const cyaml_schema_value_t zone_schema = {
     CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, ts_zone_setting_t, zone_fields)};
 
-static const cyaml_strval_t policy_names[] = {
-    {"adaptive", TS_LATE_ADAPTIVE}, {"fixed-hedge", TS_LATE_FIXED_HEDGE}, {"naive", TS_LATE_NAIVE}};
+static const cyaml_strval_t policy_names[] = {{"adaptive", TS_STRAGGLER_ADAPTIVE},
+                                              {"fixed-hedge", TS_STRAGGLER_FIXED_HEDGE},
+                                              {"naive", TS_STRAGGLER_NAIVE}};
 #define MECHANISM_BIT(symbol, name, text) {name, 1U << TS_MECHANISM_##symbol},
 static const cyaml_strval_t mechanism_names[] = {TS_MECHANISM_TABLE(MECHANISM_BIT)};
 #undef MECHANISM_BIT
@@ -158,7 +159,7 @@
     return settings;
 }
 
-const char *ts_gateway_settings_reached_at(const ts_gateway_settings_t *settings)
+const char *ts_gateway_settings_peer_address(const ts_gateway_settings_t *settings)
 {
     return settings->advertised != NULL ? settings->advertised : settings->peers;
 }
--- a/src/config/labels.c
+++ b/src/config/labels.c
@@ -17,7 +17,7 @@
     return true;
 }
 
-bool ts_label_valid(const char *text, bool allow_alternatives)
+bool ts_label_is_valid(const char *text, bool allow_alternatives)
 {
     const char *equals = strchr(text, '=');
     if (equals == NULL || !is_word(text, (size_t)(equals - text))) {
@@ -39,7 +39,7 @@
     }
 }
 
-bool ts_label_same_key(const char *left, const char *right)
+bool ts_label_has_same_key(const char *left, const char *right)
 {
     size_t length = strcspn(left, "=");
     return length == strcspn(right, "=") && strncmp(left, right, length) == 0;
@@ -64,7 +64,7 @@
 static bool term_matches(const char *term, char **labels, unsigned label_count)
 {
     for (unsigned i = 0; i < label_count; i++) {
-        if (ts_label_same_key(term, labels[i]) &&
+        if (ts_label_has_same_key(term, labels[i]) &&
             term_matches_value(term, strchr(labels[i], '=') + 1)) {
             return true;
         }
--- a/src/config/problem.c
+++ b/src/config/problem.c
@@ -128,7 +128,7 @@
     return (unsigned)line + 1;
 }
 
-unsigned ts_yaml_line(const char *text, size_t length, const char *path)
+unsigned ts_yaml_find_line(const char *text, size_t length, const char *path)
 {
     yaml_parser_t parser;
     yaml_document_t document;
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -63,7 +63,7 @@
     struct sockaddr_storage parsed;
     if (ts_address_parse(value, &parsed) != TS_OK) {
         ts_problems_add(source->problems, TS_E_INVALID,
-                        ts_yaml_line(source->text, source->length, path), path,
+                        ts_yaml_find_line(source->text, source->length, path), path,
                         "'%s' is not an IP number with a port", value);
     }
 }
@@ -82,18 +82,18 @@
     }
     if (ts_plugin_find(TS_PLUGIN_POLICY, settings->policy) == NULL) {
         ts_problems_add(source->problems, TS_E_INVALID,
-                        ts_yaml_line(source->text, source->length, "policy"), "policy",
+                        ts_yaml_find_line(source->text, source->length, "policy"), "policy",
                         "no policy is named '%s'", settings->policy);
     }
     if (settings->body_bytes_max > BODY_BYTES_LIMIT) {
         ts_problems_add(source->problems, TS_E_INVALID,
-                        ts_yaml_line(source->text, source->length, "body_bytes_max"),
+                        ts_yaml_find_line(source->text, source->length, "body_bytes_max"),
                         "body_bytes_max", "%u is over %u", settings->body_bytes_max,
                         BODY_BYTES_LIMIT);
     }
     if (settings->cpu != NULL && *settings->cpu >= sysconf(_SC_NPROCESSORS_CONF)) {
         ts_problems_add(source->problems, TS_E_INVALID,
-                        ts_yaml_line(source->text, source->length, "cpu"), "cpu",
+                        ts_yaml_find_line(source->text, source->length, "cpu"), "cpu",
                         "this machine has no core %d", *settings->cpu);
     }
 }
--- a/src/config/tenants.c
+++ b/src/config/tenants.c
@@ -169,12 +169,12 @@
     return tenants->list->len;
 }
 
-const ts_tenant_t *ts_tenants_at(const ts_tenants_t *tenants, unsigned i)
+const ts_tenant_t *ts_tenants_get(const ts_tenants_t *tenants, unsigned i)
 {
     return g_ptr_array_index(tenants->list, i);
 }
 
-const ts_tenant_t *ts_tenants_find_holder(const ts_tenants_t *tenants,
+const ts_tenant_t *ts_tenants_find_by_key(const ts_tenants_t *tenants,
                                           const ts_key_digest_t *digest)
 {
     return g_hash_table_lookup(tenants->holders, digest);
--- a/src/control/document_loader.c
+++ b/src/control/document_loader.c
@@ -77,7 +77,7 @@
         return;
     }
     loader->current = g_queue_pop_head(loader->queue);
-    ts_runtime_work(loader->runtime, load, finish, free_job, loader->current);
+    ts_runtime_queue_work(loader->runtime, load, finish, free_job, loader->current);
 }
 
 static bool is_queued(const ts_document_loader_t *loader, uint64_t digest)
--- a/src/control/mesh.c
+++ b/src/control/mesh.c
@@ -104,7 +104,7 @@
         ts_log(TS_EVENT_FRAMES_LOST, "peer=- reason=unknown_peer type=%d", (int)message->type);
         return;
     }
-    message->kept = true;
+    message->is_retained = true;
     if (peer->pending->len == 0) {
         g_ptr_array_add(mesh.peers_to_flush, peer);
     }
@@ -272,7 +272,7 @@
     mesh.broker = ts_task_find(node->tasks, "broker");
     mesh.membership = ts_task_find(node->tasks, "membership");
     mesh.configuration = ts_task_find(node->tasks, "configuration");
-    ts_task_on_drained(mesh.task, flush_peers);
+    ts_task_set_drained_callback(mesh.task, flush_peers);
     uv_timer_init(node->loop, &mesh.sweep_timer);
     uv_timer_start(&mesh.sweep_timer, close_idle_peers, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS);
     return TS_OK;
--- a/src/control/platform_http.c
+++ b/src/control/platform_http.c
@@ -53,7 +53,7 @@
     document_call_t *call = g_new0(document_call_t, 1);
     call->done = done;
     call->context = context;
-    ts_http_send_t send = {"GET", "/config", header, NULL, 0};
+    ts_http_client_request_t send = {"GET", "/config", header, NULL, 0};
     ts_http_call(pool, &send, on_document, call);
 }
 
@@ -103,7 +103,7 @@
     machines_call_t *call = g_new0(machines_call_t, 1);
     call->done = done;
     call->context = context;
-    ts_http_send_t send = {"GET", "/machines", NULL, NULL, 0};
+    ts_http_client_request_t send = {"GET", "/machines", NULL, NULL, 0};
     ts_http_call(pool, &send, on_machines, call);
 }
 
--- a/src/edge/authentication.c
+++ b/src/edge/authentication.c
@@ -8,19 +8,19 @@
                            ts_identity_t *identity)
 {
     *identity = (ts_identity_t){0};
-    if (route->is_open || ts_tenants_count(traffic->tenants) == 0)
+    if (route->is_auth_exempt || ts_tenants_count(traffic->tenants) == 0)
         return TS_OK;
     ts_bearer_t bearer;
     ts_error_t error = ts_bearer_find(message, field, &bearer);
     if (error != TS_OK)
         return error;
     identity->key = ts_key_digest(bearer.token, bearer.length);
-    identity->tenant = ts_tenants_find_holder(traffic->tenants, &identity->key);
+    identity->tenant = ts_tenants_find_by_key(traffic->tenants, &identity->key);
     return identity->tenant == NULL ? TS_E_UNAUTHENTICATED : TS_OK;
 }
 
 bool ts_identity_is_valid(const ts_identity_t *identity, const ts_traffic_t *newest)
 {
     return identity->tenant == NULL ||
-           ts_tenants_find_holder(newest->tenants, &identity->key) != NULL;
+           ts_tenants_find_by_key(newest->tenants, &identity->key) != NULL;
 }
--- a/src/edge/gateway.c
+++ b/src/edge/gateway.c
@@ -12,9 +12,9 @@
 #include "tealspar/peers.h"
 #include "tealspar/pending.h"
 #include "tealspar/plugin.h"
+#include "tealspar/stall_detector.h"
 #include "tealspar/store_mirror.h"
 #include "tealspar/store_watch.h"
-#include "tealspar/wake.h"
 
 #define STATUS_OK 200
 #define STATUS_NOT_FOUND 404
@@ -300,7 +300,7 @@
     gateway->store = ts_store_watch_create(gateway);
     gateway->pending = ts_pending_create(gateway);
     ts_gateway_open_quotas(gateway);
-    ts_upstream_on_late(gateway->upstream, ts_wake_watch(loop, on_resume, gateway));
+    ts_upstream_on_late(gateway->upstream, ts_stall_detector_start(loop, on_resume, gateway));
     ts_error_t error = open_listeners(gateway);
     if (error == TS_OK && settings->peers != NULL) {
         gateway->peers = ts_peers_open(gateway, gateway->mirror);
--- a/src/edge/gateway_quota.c
+++ b/src/edge/gateway_quota.c
@@ -103,7 +103,7 @@
 {
     unsigned count = gateway->traffic == NULL ? 0 : ts_tenants_count(gateway->traffic->tenants);
     for (unsigned i = 0; i < MIN(count, PREFETCH_MAX); i++) {
-        const char *name = ts_tenants_at(gateway->traffic->tenants, i)->name;
+        const char *name = ts_tenants_get(gateway->traffic->tenants, i)->name;
         ts_rate_limiter_prefetch(gateway->limiter, name, now_us);
     }
 }
--- a/src/edge/request.c
+++ b/src/edge/request.c
@@ -96,7 +96,7 @@
         target_latency_us > 2 * TARGET_LATENCY_MARGIN_US
             ? request->arrived_us + target_latency_us - TARGET_LATENCY_MARGIN_US
             : request->deadline_us;
-    if (request->gateway->settings->policy == TS_LATE_NAIVE ||
+    if (request->gateway->settings->policy == TS_STRAGGLER_NAIVE ||
         request->soft_deadline_us > request->deadline_us) {
         request->soft_deadline_us = request->deadline_us;
     }
--- a/src/edge/request_part.c
+++ b/src/edge/request_part.c
@@ -79,7 +79,7 @@
 {
     const ts_request_t *request = part->request;
     bool is_hedge_delayed = ts_mechanism_is_on(TS_MECHANISM_PATIENT_SECOND);
-    if (!is_hedge_delayed || request->gateway->settings->policy != TS_LATE_ADAPTIVE) {
+    if (!is_hedge_delayed || request->gateway->settings->policy != TS_STRAGGLER_ADAPTIVE) {
         return overdue_us;
     }
     ts_time_us_t hedge_duration_us =
@@ -95,7 +95,7 @@
 static ts_time_us_t overdue_delay_us(const ts_request_t *request, double travel_us)
 {
     ts_time_us_t target_latency_us = request->soft_deadline_us - request->arrived_us;
-    if (request->gateway->settings->policy != TS_LATE_ADAPTIVE) {
+    if (request->gateway->settings->policy != TS_STRAGGLER_ADAPTIVE) {
         return target_latency_us / FIXED_HEDGE_DIVISOR;
     }
     return (ts_time_us_t)(ts_route_state_overdue_us(request->state) + travel_us);
@@ -336,12 +336,12 @@
         return;
     }
     ts_time_us_t sent_us = ts_exchange_sent_us(latest);
-    ts_late_policy_t policy = part->request->gateway->settings->policy;
-    if (policy == TS_LATE_NAIVE) {
+    ts_straggler_policy_t policy = part->request->gateway->settings->policy;
+    if (policy == TS_STRAGGLER_NAIVE) {
         return;
     }
     bool is_new = !part->was_overdue && !ts_exchange_is_untimed(latest);
-    if (is_new && policy == TS_LATE_ADAPTIVE) {
+    if (is_new && policy == TS_STRAGGLER_ADAPTIVE) {
         part->was_overdue = true;
         ts_route_state_add_overdue(part->request->state);
         part->announce_us =
--- a/src/front/caller_http.c
+++ b/src/front/caller_http.c
@@ -112,7 +112,7 @@
     ts_query_t *query = ts_front_submit(query_front, request, take_answer, caller);
     if (query != NULL) {
         caller->query = query;
-        ts_http_watch(exchange, take_abandoned, caller);
+        ts_http_set_abandoned_callback(exchange, take_abandoned, caller);
     }
 }
 
@@ -152,7 +152,7 @@
 
 static void leave_api(void)
 {
-    ts_http_server_leave(server);
+    ts_http_server_disable_keepalive(server);
 }
 
 static void drain_api(void)
--- a/src/kernel/address.c
+++ b/src/kernel/address.c
@@ -1,4 +1,4 @@
-/** Parsing of IP numbers with ports. */
+/** Parsing of IP addresses with ports. */
 #include "tealspar/address.h"
 
 #include <glib.h>
--- a/src/kernel/clock.c
+++ b/src/kernel/clock.c
@@ -1,4 +1,4 @@
-/** The clock, over the system's boot time and wall clock. */
+/** Clock based on CLOCK_BOOTTIME and CLOCK_REALTIME. */
 #include "tealspar/clock.h"
 
 #include <stddef.h>
@@ -23,7 +23,7 @@
         return source_now_us();
     }
     struct timespec now;
-    (void)clock_gettime(CLOCK_BOOTTIME, &now); // fails on no Linux that this runs on
+    (void)clock_gettime(CLOCK_BOOTTIME, &now); // cannot fail on supported kernels
     return (ts_time_us_t)now.tv_sec * TS_US_PER_S + (ts_time_us_t)(now.tv_nsec / NS_PER_US);
 }
 
--- a/src/kernel/counters.c
+++ b/src/kernel/counters.c
@@ -1,4 +1,4 @@
-/** Storage and text forms of the counters. */
+/** Storage and text output of the metrics. */
 #include "tealspar/counters.h"
 #include <inttypes.h>
 
@@ -64,15 +64,15 @@
 {
     g_string_append_printf(out, "# HELP tealspar_%s %s\n# TYPE tealspar_%s histogram\n", row->name,
                            row->description, row->name);
-    uint64_t seen = 0;
+    uint64_t cumulative = 0;
     for (uint32_t octave = 0; octave < TS_HISTOGRAM_OCTAVES; octave++) {
         for (uint32_t sub = 0; sub < TS_HISTOGRAM_SUB_COUNT; sub++) {
-            seen += h->buckets[octave * TS_HISTOGRAM_SUB_COUNT + sub];
+            cumulative += h->buckets[octave * TS_HISTOGRAM_SUB_COUNT + sub];
         }
         uint32_t last = octave * TS_HISTOGRAM_SUB_COUNT + TS_HISTOGRAM_SUB_COUNT - 1;
-        double edge = (double)ts_histogram_upper_us(last) / US_PER_S_DOUBLE;
+        double upper_s = (double)ts_histogram_upper_us(last) / US_PER_S_DOUBLE;
         g_string_append_printf(out, "tealspar_%s_bucket{le=\"%.6f\"} %" PRIu64 "\n", row->name,
-                               edge, seen);
+                               upper_s, cumulative);
     }
     g_string_append_printf(out, "tealspar_%s_bucket{le=\"+Inf\"} %" PRIu64 "\n", row->name,
                            h->total);
@@ -96,7 +96,7 @@
                                row->description, row->name, row->type);
         g_string_append_printf(out, "tealspar_%s %" PRId64 "\n", row->name, counter_values[i]);
     }
-    g_string_append(out, "# HELP tealspar_errors_total failures and refusals by type\n"
+    g_string_append(out, "# HELP tealspar_errors_total errors and refusals by type\n"
                          "# TYPE tealspar_errors_total counter\n");
 #define TS_ERROR_LINE(symbol, number, name, text) write_error_line(out, symbol);
     TS_ERROR_TABLE(TS_ERROR_LINE)
--- a/src/kernel/early_stop.c
+++ b/src/kernel/early_stop.c
@@ -1,4 +1,4 @@
-/** Signals to a process that does not serve yet. */
+/** Signal handling during startup. */
 #include "tealspar/early_stop.h"
 
 #include <signal.h>
@@ -6,14 +6,14 @@
 
 #include "tealspar/command.h"
 
-static void stop_at_once(int number)
+static void exit_on_signal(int number)
 {
     _exit(TS_EXIT_OK);
 }
 
-void ts_early_stop_begin(void)
+void ts_early_stop_install_handlers(void)
 {
-    signal(SIGTERM, stop_at_once);
-    signal(SIGINT, stop_at_once);
+    signal(SIGTERM, exit_on_signal);
+    signal(SIGINT, exit_on_signal);
     signal(SIGHUP, SIG_IGN);
 }
--- a/src/kernel/error.c
+++ b/src/kernel/error.c
@@ -1,4 +1,4 @@
-/** Names and texts of the typed errors. */
+/** Names and descriptions of the error codes. */
 #include "tealspar/error.h"
 
 const char *ts_error_name(ts_error_t error)
@@ -26,5 +26,5 @@
         TS_ERROR_TABLE(TS_ERROR_TEXT)
 #undef TS_ERROR_TEXT
     }
-    return "an error that is not listed";
+    return "unknown error";
 }
--- a/src/kernel/hash.c
+++ b/src/kernel/hash.c
@@ -1,4 +1,4 @@
-/** Hashes over xxHash. */
+/** Hash functions based on xxHash. */
 #include "tealspar/hash.h"
 
 #include <string.h>
--- a/src/kernel/http_client.c
+++ b/src/kernel/http_client.c
@@ -1,4 +1,4 @@
-/** Pooled HTTP/1.1 client over h2o's client and socket pool. */
+/** Pooled HTTP/1.1 client based on h2o's client and socket pool. */
 #include "tealspar/http_client.h"
 
 #include <glib.h>
@@ -30,10 +30,10 @@
     h2o_iovec_t buffer;
     GString *body;
     int status;
-    bool starting; /* inside ts_http_call: the callback must wait */
+    bool is_starting; /* inside ts_http_call(): the callback is deferred */
     bool ended_at_start;
     ts_error_t start_error;
-    uv_timer_t postponed; /* runs the callback of a call that ended at once */
+    uv_timer_t deferred; /* runs the callback of a call that ended during ts_http_call() */
 };
 
 static void free_pool(ts_http_pool_t *pool)
@@ -41,7 +41,8 @@
     h2o_socketpool_dispose(&pool->sockets);
     h2o_timeout_dispose(pool->loop, &pool->io_timeout);
     g_free(pool->host);
-    /* The timeout's timer closes on the loop's next turn and lies in the pool: keep the memory. */
+    /* The pool itself leaks: it contains the timeout's timer, which closes in the next iteration.
+     */
 }
 
 ts_error_t ts_http_pool_open(ts_http_pool_t **opened, uv_loop_t *loop, const char *address,
@@ -92,7 +93,7 @@
 
 static void finish_call(ts_http_call_t *call, ts_error_t error)
 {
-    if (call->starting) {
+    if (call->is_starting) {
         call->ended_at_start = true;
         call->start_error = error;
         return;
@@ -102,15 +103,15 @@
     free_call(call);
 }
 
-static void finish_postponed_closed(uv_handle_t *handle)
+static void on_deferred_closed(uv_handle_t *handle)
 {
     ts_http_call_t *call = handle->data;
     finish_call(call, call->start_error);
 }
 
-static void finish_postponed(uv_timer_t *timer)
+static void on_deferred(uv_timer_t *timer)
 {
-    uv_close((uv_handle_t *)timer, finish_postponed_closed);
+    uv_close((uv_handle_t *)timer, on_deferred_closed);
 }
 
 static int on_body(h2o_http1client_t *client, const char *error)
@@ -162,48 +163,48 @@
     return on_head;
 }
 
-static GString *format_request(const ts_http_pool_t *pool, const ts_http_send_t *send)
+static GString *format_request(const ts_http_pool_t *pool, const ts_http_client_request_t *request)
 {
-    GString *text = g_string_sized_new(256 + send->body_length);
+    GString *text = g_string_sized_new(256 + request->body_length);
     g_string_append_printf(text, "%s %s HTTP/1.1\r\nhost: %s\r\nconnection: keep-alive\r\n",
-                           send->method, send->path, pool->host);
-    if (send->headers != NULL) {
-        g_string_append(text, send->headers);
+                           request->method, request->path, pool->host);
+    if (request->headers != NULL) {
+        g_string_append(text, request->headers);
     }
-    if (send->body != NULL) {
+    if (request->body != NULL) {
         g_string_append_printf(text, "content-type: application/json\r\ncontent-length: %zu\r\n",
-                               send->body_length);
+                               request->body_length);
     }
     g_string_append(text, "\r\n");
-    if (send->body != NULL) {
-        g_string_append_len(text, send->body, (gssize)send->body_length);
+    if (request->body != NULL) {
+        g_string_append_len(text, request->body, (gssize)request->body_length);
     }
     return text;
 }
 
-ts_http_call_t *ts_http_call(ts_http_pool_t *pool, const ts_http_send_t *send, ts_http_done_t done,
-                             void *context)
+ts_http_call_t *ts_http_call(ts_http_pool_t *pool, const ts_http_client_request_t *request,
+                             ts_http_done_t done, void *context)
 {
     ts_http_call_t *call = g_new0(ts_http_call_t, 1);
     call->pool = pool;
     call->done = done;
     call->context = context;
-    call->request = format_request(pool, send);
+    call->request = format_request(pool, request);
     call->body = g_string_new(NULL);
     pool->in_use++;
-    call->starting = true;
+    call->is_starting = true;
     h2o_http1client_connect_with_pool(&call->client, call, &pool->context, &pool->sockets,
                                       on_connect);
-    call->starting = false;
+    call->is_starting = false;
     if (call->ended_at_start) {
-        uv_timer_init(pool->loop, &call->postponed);
-        call->postponed.data = call;
-        uv_timer_start(&call->postponed, finish_postponed, 0, 0);
+        uv_timer_init(pool->loop, &call->deferred);
+        call->deferred.data = call;
+        uv_timer_start(&call->deferred, on_deferred, 0, 0);
     }
     return call;
 }
 
-static void free_postponed(uv_handle_t *handle)
+static void free_deferred(uv_handle_t *handle)
 {
     free_call(handle->data);
 }
@@ -211,7 +212,7 @@
 void ts_http_cancel(ts_http_call_t *call)
 {
     if (call->ended_at_start) {
-        uv_close((uv_handle_t *)&call->postponed, free_postponed);
+        uv_close((uv_handle_t *)&call->deferred, free_deferred);
         return;
     }
     h2o_http1client_cancel(call->client);
--- a/src/kernel/http_server.c
+++ b/src/kernel/http_server.c
@@ -1,4 +1,4 @@
-/** HTTP server over h2o's libuv binding. */
+/** HTTP server based on h2o's libuv binding. */
 #include "tealspar/http_server.h"
 
 #include <errno.h>
@@ -20,7 +20,7 @@
 #define HTTP_CLIENT_CLOSED 499
 
 struct ts_http_server {
-    uv_tcp_t listener; /* must stay first: libuv hands it back */
+    uv_tcp_t listener; /* must be first: callbacks cast it to ts_http_server_t */
     h2o_globalconf_t config;
     h2o_context_t context;
     h2o_accept_ctx_t accept;
@@ -34,14 +34,14 @@
 struct ts_http_exchange {
     h2o_req_t *request;
     ts_http_server_t *server;
-    h2o_socket_t *socket; /* set while watched for an early close */
-    ts_http_abandoned_t abandoned;
+    h2o_socket_t *socket; /* set while monitored for a disconnect */
+    ts_http_abandoned_cb_t abandoned;
     void *abandoned_context;
     bool replied;
 };
 
 typedef struct connection {
-    uv_tcp_t tcp; /* must stay first: libuv hands it back */
+    uv_tcp_t tcp; /* must be first: callbacks cast it to connection_t */
     ts_http_server_t *server;
 } connection_t;
 
@@ -50,15 +50,15 @@
     ts_http_server_t *server;
 } server_handler_t;
 
-/* h2o_socket_t of a watched HTTP/1.1 connection -> its exchange; loop's thread only. */
-static GHashTable *watched_sockets;
+/* h2o_socket_t of a monitored HTTP/1.1 connection -> exchange; loop's thread only. */
+static GHashTable *monitored_sockets;
 
-/* Runs when h2o frees the request: after the reply, or because the caller closed. */
+/* Called when h2o frees the request: after the reply, or because the caller disconnected. */
 static void dispose_exchange(void *pointer)
 {
     ts_http_exchange_t *exchange = pointer;
     if (exchange->socket != NULL) {
-        g_hash_table_remove(watched_sockets, exchange->socket);
+        g_hash_table_remove(monitored_sockets, exchange->socket);
     }
     if (!exchange->replied && exchange->abandoned != NULL) {
         exchange->replied = true;
@@ -93,41 +93,42 @@
 }
 
 /*
- * h2o stops reading an HTTP/1.1 connection while a request is handled, so a close goes unnoticed.
- * While an exchange is watched, this callback reads instead; h2o sets its own again for the next
- * request. Early bytes of a next request simply stay in the socket's input buffer.
+ * h2o stops reading an HTTP/1.1 connection while a request is handled, so it does not detect a
+ * disconnect. While an exchange is monitored, this read callback does. h2o restores its own
+ * callback for the next request; data of a pipelined request stays in the socket's input buffer.
  */
-static void notice_close(h2o_socket_t *socket, const char *error)
+static void on_disconnect(h2o_socket_t *socket, const char *error)
 {
     if (error == NULL) {
         return;
     }
     h2o_socket_read_stop(socket);
-    ts_http_exchange_t *exchange = g_hash_table_lookup(watched_sockets, socket);
+    ts_http_exchange_t *exchange = g_hash_table_lookup(monitored_sockets, socket);
     if (exchange == NULL || exchange->replied) {
         return;
     }
-    ts_http_abandoned_t abandoned = exchange->abandoned;
+    ts_http_abandoned_cb_t abandoned = exchange->abandoned;
     exchange->abandoned = NULL;
     abandoned(exchange->abandoned_context);
-    /* The reply cannot arrive; sending it makes h2o free the connection. */
+    /* The reply cannot be delivered, but sending it makes h2o free the connection. */
     ts_http_reply(exchange, HTTP_CLIENT_CLOSED, "text/plain", "", 0, 0);
 }
 
-void ts_http_watch(ts_http_exchange_t *exchange, ts_http_abandoned_t abandoned, void *context)
+void ts_http_set_abandoned_callback(ts_http_exchange_t *exchange, ts_http_abandoned_cb_t abandoned,
+                                    void *context)
 {
     exchange->abandoned = abandoned;
     exchange->abandoned_context = context;
     h2o_req_t *request = exchange->request;
     if (request->version >= HTTP2_VERSION) {
-        return; /* h2o frees the request when its stream is reset */
+        return; /* h2o frees the request when the stream is reset */
     }
-    if (watched_sockets == NULL) {
-        watched_sockets = g_hash_table_new(g_direct_hash, g_direct_equal);
+    if (monitored_sockets == NULL) {
+        monitored_sockets = g_hash_table_new(g_direct_hash, g_direct_equal);
     }
     exchange->socket = request->conn->callbacks->get_socket(request->conn);
-    g_hash_table_insert(watched_sockets, exchange->socket, exchange);
-    h2o_socket_read_start(exchange->socket, notice_close);
+    g_hash_table_insert(monitored_sockets, exchange->socket, exchange);
+    h2o_socket_read_start(exchange->socket, on_disconnect);
 }
 
 bool ts_http_header(ts_http_exchange_t *exchange, const char *name, char *value, size_t size)
@@ -162,12 +163,12 @@
     h2o_req_t *request = exchange->request;
     exchange->replied = true;
     if (exchange->socket != NULL) {
-        g_hash_table_remove(watched_sockets, exchange->socket);
+        g_hash_table_remove(monitored_sockets, exchange->socket);
         exchange->socket = NULL;
     }
     request->res.status = status;
     request->res.reason = "";
-    request->res.content_length = length; /* without it h2o closes the connection */
+    request->res.content_length = length; /* without a length, h2o closes the connection */
     h2o_add_header(&request->pool, &request->res.headers, H2O_TOKEN_CONTENT_TYPE, NULL,
                    content_type, strlen(content_type));
     add_retry_after(request, retry_after_ms);
@@ -203,8 +204,8 @@
     connection->server = server;
     server->connections++;
     uv_tcp_init(listener->loop, &connection->tcp);
-    bool taken = uv_accept(listener, (uv_stream_t *)&connection->tcp) == 0;
-    if (!taken || server->connections > server->limits.connections) {
+    bool is_accepted = uv_accept(listener, (uv_stream_t *)&connection->tcp) == 0;
+    if (!is_accepted || server->connections > server->limits.connections) {
         uv_close((uv_handle_t *)&connection->tcp, free_connection);
         return;
     }
@@ -217,7 +218,7 @@
 {
     h2o_config_init(&server->config);
     server->config.server_name = h2o_iovec_init(H2O_STRLIT("tealspar"));
-    /* h2o reads one byte more than our limit so that our own 413 is the answer. */
+    /* h2o's limit is above ours, so that handle_request() replies to oversized bodies with 413. */
     server->config.max_request_entity_size = server->limits.body_bytes * 2;
     server->config.http1.req_timeout = server->limits.request_timeout_ms;
     server->config.http1.upgrade_to_http2 = 1;
@@ -260,7 +261,7 @@
     return TS_OK;
 }
 
-void ts_http_server_leave(ts_http_server_t *server)
+void ts_http_server_disable_keepalive(ts_http_server_t *server)
 {
     server->draining = true;
 }
--- a/src/kernel/messages.c
+++ b/src/kernel/messages.c
@@ -1,4 +1,4 @@
-/** Creation and destruction of the typed messages. */
+/** Constructors and destructors of the typed messages. */
 #include "tealspar/messages.h"
 
 #include "tealspar/declarations.h"
--- a/src/kernel/node.c
+++ b/src/kernel/node.c
@@ -1,4 +1,4 @@
-/** The node: opens the task plug-ins, runs the loop, and stops politely. */
+/** A node: opens the task plug-ins, runs the loop and shuts down gracefully. */
 #include "tealspar/node.h"
 
 #include <signal.h>
@@ -10,11 +10,11 @@
 #include "tealspar/version.h"
 
 #define STOP_CHECK_MS 10
-/* Late wake-ups past this bound are counted and make the node doubt what it believes. */
 #define STALL_CHECK_MS 100
-#define STALL_BOUND_US (1000ULL * TS_US_PER_MS)
-#define OPEN_FILES_WANTED 4096
-/* After the tasks are idle, replies still need a moment to leave the sockets. */
+/* Longer intervals between two stall checks are counted and logged as stalls of the loop. */
+#define STALL_THRESHOLD_US (1000ULL * TS_US_PER_MS)
+#define OPEN_FILES_MIN 4096
+/* Delay after the tasks are idle, so that the last replies are written to the sockets. */
 #define FLUSH_MS 50
 
 typedef struct running {
@@ -25,14 +25,14 @@
     uv_signal_t interrupt;
     uv_timer_t stop_check;
     uv_timer_t stall_check;
-    ts_time_us_t stall_seen_us;
+    ts_time_us_t last_stall_check_us;
     ts_time_us_t stop_began_us;
     ts_time_us_t idle_since_us;
 } running_t;
 
 static running_t running;
 
-static ts_error_t check_open_files(void)
+static ts_error_t raise_open_file_limit(void)
 {
     struct rlimit limit;
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0) {
@@ -41,9 +41,9 @@
     limit.rlim_cur = limit.rlim_max;
     (void)setrlimit(RLIMIT_NOFILE, &limit);
     (void)getrlimit(RLIMIT_NOFILE, &limit);
-    if (limit.rlim_cur < OPEN_FILES_WANTED) {
-        ts_log(TS_EVENT_FAILURE, "open files: %lu allowed, %d needed",
-               (unsigned long)limit.rlim_cur, OPEN_FILES_WANTED);
+    if (limit.rlim_cur < OPEN_FILES_MIN) {
+        ts_log(TS_EVENT_FAILURE, "open file limit too low: %lu, required %d",
+               (unsigned long)limit.rlim_cur, OPEN_FILES_MIN);
         return TS_E_LIMIT;
     }
     return TS_OK;
@@ -61,7 +61,7 @@
     return true;
 }
 
-void ts_node_leave(ts_node_t *node)
+void ts_node_begin_shutdown(ts_node_t *node)
 {
     const ts_plugin_t *plugin = NULL;
     node->stopping = true;
@@ -98,7 +98,7 @@
 void ts_node_close(ts_node_t *node)
 {
     const ts_plugin_t *plugin = NULL;
-    ts_tasks_destroy(node->tasks); /* first, as what is in mailboxes refers to the states */
+    ts_tasks_destroy(node->tasks); /* first, as queued messages refer to the task states */
     while ((plugin = ts_plugin_next(TS_PLUGIN_TASK, plugin)) != NULL) {
         const ts_task_ops_t *ops = plugin->ops;
         if (ops->close != NULL) {
@@ -127,28 +127,28 @@
 static void begin_stop(uv_signal_t *handle, int signal_number)
 {
     if (running.node.stopping) {
-        uv_stop(&running.loop); /* a second signal ends at once */
+        uv_stop(&running.loop); /* a second signal stops the node immediately */
         return;
     }
     running.stop_began_us = ts_clock_now_us();
     ts_log(TS_EVENT_STOPPING, "signal %d", signal_number);
-    ts_node_leave(&running.node);
+    ts_node_begin_shutdown(&running.node);
     uv_timer_start(&running.stop_check, check_stop, STOP_CHECK_MS, STOP_CHECK_MS);
 }
 
 static void check_stall(uv_timer_t *timer)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    ts_time_us_t late_us = now_us - running.stall_seen_us;
-    running.stall_seen_us = now_us;
-    if (late_us > STALL_BOUND_US) {
+    ts_time_us_t interval_us = now_us - running.last_stall_check_us;
+    running.last_stall_check_us = now_us;
+    if (interval_us > STALL_THRESHOLD_US) {
         ts_count(TS_COUNTER_LOOP_STALLS, 1);
-        ts_log(TS_EVENT_LOOP_STALLED, "the loop stood still for %lu ms",
-               (unsigned long)(late_us / TS_US_PER_MS));
+        ts_log(TS_EVENT_LOOP_STALLED, "event loop stalled for %lu ms",
+               (unsigned long)(interval_us / TS_US_PER_MS));
     }
 }
 
-/* Calls one operation of every task, in order, until one fails. */
+/* Opens or starts all tasks in order, until one fails. */
 static ts_error_t call_tasks(ts_node_t *node, bool opens)
 {
     const ts_plugin_t *plugin = NULL;
@@ -179,20 +179,20 @@
     uv_signal_start(&running.interrupt, begin_stop, SIGINT);
     uv_timer_init(&running.loop, &running.stop_check);
     uv_timer_init(&running.loop, &running.stall_check);
-    running.stall_seen_us = ts_clock_now_us();
+    running.last_stall_check_us = ts_clock_now_us();
     uv_timer_start(&running.stall_check, check_stall, STALL_CHECK_MS, STALL_CHECK_MS);
 }
 
 ts_error_t ts_node_run(const ts_settings_t *settings)
 {
-    ts_error_t error = check_open_files();
+    ts_error_t error = raise_open_file_limit();
     if (error != TS_OK) {
         return error;
     }
     uv_loop_init(&running.loop);
     ts_runtime_uv_open(&running.runtime, &running.loop);
     ts_node_init(&running.node, &running.runtime.super, settings, (uint64_t)ts_clock_wall_ms());
-    ts_runtime_uv_serve(&running.runtime, running.node.tasks);
+    ts_runtime_uv_set_tasks(&running.runtime, running.node.tasks);
     running.node.loop = &running.loop;
     watch_signals();
     error = ts_node_start(&running.node);
--- a/src/kernel/plugin.c
+++ b/src/kernel/plugin.c
@@ -1,4 +1,4 @@
-/** The plug-in registry: one list, kept in order of kind, order and name. */
+/** The plug-in registry: one list for all kinds, sorted by order and name. */
 #include "tealspar/plugin.h"
 
 #include <string.h>
@@ -15,12 +15,12 @@
 
 void ts_plugin_register(ts_plugin_t *plugin)
 {
-    ts_plugin_t **place = &registered;
-    while (*place != NULL && compare_plugins(*place, plugin) < 0) {
-        place = &(*place)->next;
+    ts_plugin_t **link = &registered;
+    while (*link != NULL && compare_plugins(*link, plugin) < 0) {
+        link = &(*link)->next;
     }
-    plugin->next = *place;
-    *place = plugin;
+    plugin->next = *link;
+    *link = plugin;
 }
 
 const ts_plugin_t *ts_plugin_next(ts_plugin_kind_t kind, const ts_plugin_t *previous)
--- a/src/kernel/request_digest.c
+++ b/src/kernel/request_digest.c
@@ -1,4 +1,4 @@
-/** Digests of requests. */
+/** Request digests. */
 #include "tealspar/request_digest.h"
 
 #include <string.h>
@@ -31,7 +31,7 @@
 guint ts_request_digest_hash(gconstpointer digest)
 {
     guint hash;
-    memcpy(&hash, digest, sizeof(hash)); // its bytes are as good as drawn
+    memcpy(&hash, digest, sizeof(hash)); // the digest is uniformly distributed
     return hash;
 }
 
--- a/src/kernel/runtime.c
+++ b/src/kernel/runtime.c
@@ -1,12 +1,12 @@
-/** Timers, whatever the runtime. */
+/** Timers and background work, dispatched to the runtime implementation. */
 #include "tealspar/runtime.h"
 
 #include <string.h>
 
-void ts_runtime_work(ts_runtime_t *runtime, void (*run)(void *context), void (*done)(void *context),
-                     void (*drop)(void *context), void *context)
+void ts_runtime_queue_work(ts_runtime_t *runtime, void (*run)(void *context),
+                           void (*done)(void *context), void (*drop)(void *context), void *context)
 {
-    runtime->ops->work(runtime, run, done, drop, context);
+    runtime->ops->queue_work(runtime, run, done, drop, context);
 }
 
 void ts_timer_init(ts_timer_t *timer, ts_runtime_t *runtime, ts_timer_callback_t fired, void *data)
--- a/src/kernel/runtime_uv.c
+++ b/src/kernel/runtime_uv.c
@@ -1,4 +1,4 @@
-/** The runtime over libuv. */
+/** Runtime implementation over libuv. */
 #include "tealspar/runtime_uv.h"
 
 #include <glib.h>
@@ -39,7 +39,7 @@
     uv_close((uv_handle_t *)&timer->uv, on_closed);
 }
 
-/* One piece of work in libuv's pool of threads. */
+/* A work item in libuv's thread pool. */
 typedef struct pool_work {
     uv_work_t request;
     void (*run)(void *context);
@@ -60,7 +60,7 @@
     g_free(work);
 }
 
-/* The loop ends with the process, so nothing is ever dropped. */
+/* `drop` is unused: the loop runs until the process exits. */
 static void queue_work(ts_runtime_t *runtime, void (*run)(void *context),
                        void (*done)(void *context), void (*drop)(void *context), void *context)
 {
@@ -96,7 +96,7 @@
     runtime->wake_up.data = runtime;
 }
 
-void ts_runtime_uv_serve(ts_runtime_uv_t *runtime, ts_tasks_t *tasks)
+void ts_runtime_uv_set_tasks(ts_runtime_uv_t *runtime, ts_tasks_t *tasks)
 {
     runtime->tasks = tasks;
 }
--- a/src/kernel/task.c
+++ b/src/kernel/task.c
@@ -1,4 +1,4 @@
-/** Mailboxes: one lock-protected queue per task, drained in rounds. */
+/** Task mailboxes: one mutex-protected queue per task, drained in rounds. */
 #include "tealspar/task.h"
 
 #include <glib.h>
@@ -21,7 +21,7 @@
     ts_task_t *first;
 };
 
-/* A round delivers at most this many messages a task, so that no task starves the sockets. */
+/* Limit per task and round, so that a busy task does not starve the sockets. */
 #define MESSAGES_PER_ROUND 256
 
 ts_tasks_t *ts_tasks_create(ts_runtime_t *runtime)
@@ -31,7 +31,7 @@
     return tasks;
 }
 
-static ts_message_t *take_message(ts_task_t *task)
+static ts_message_t *pop_message(ts_task_t *task)
 {
     uv_mutex_lock(&task->lock);
     ts_message_t *message = task->head;
@@ -48,19 +48,19 @@
 static int handle_messages(ts_task_t *task)
 {
     for (int i = 0; i < MESSAGES_PER_ROUND; i++) {
-        ts_message_t *message = take_message(task);
+        ts_message_t *message = pop_message(task);
         if (message == NULL) {
             return i;
         }
         task->handler(task->state, message);
-        if (!message->kept) {
+        if (!message->is_retained) {
             message->destroy(message);
         }
     }
     return MESSAGES_PER_ROUND;
 }
 
-/* Returns whether more may be waiting. */
+/* Returns true if messages may be left. */
 static bool drain_task(ts_task_t *task)
 {
     int handled = handle_messages(task);
@@ -97,7 +97,7 @@
 static void destroy_task(ts_task_t *task)
 {
     ts_message_t *message = NULL;
-    while ((message = take_message(task)) != NULL) {
+    while ((message = pop_message(task)) != NULL) {
         message->destroy(message);
     }
     uv_mutex_destroy(&task->lock);
@@ -127,7 +127,7 @@
     }
 }
 
-void ts_task_on_drained(ts_task_t *task, void (*drained)(void *state))
+void ts_task_set_drained_callback(ts_task_t *task, void (*drained)(void *state))
 {
     task->drained = drained;
 }
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -45,7 +45,7 @@
     }
     frame->protocol = PROTOCOL;
     frame->name = settings->name;
-    frame->address = (char *)ts_gateway_settings_reached_at(settings);
+    frame->address = (char *)ts_gateway_settings_peer_address(settings);
     ts_peers_number_frame(peers, address, frame);
     size_t length = ts_peer__frame__get_packed_size(frame);
     uint8_t *bytes = g_malloc(length);
@@ -230,7 +230,7 @@
     const ts_gateway_settings_t *settings = peers->gateway->settings;
     ts_membership_begin_machines(peers->membership);
     for (unsigned i = 0; i < settings->seeds_count; i++) {
-        if (strcmp(settings->seeds[i], ts_gateway_settings_reached_at(settings)) != 0) {
+        if (strcmp(settings->seeds[i], ts_gateway_settings_peer_address(settings)) != 0) {
             ts_membership_add_machine(peers->membership, settings->seeds[i], settings->seeds[i],
                                       "");
         }
@@ -247,7 +247,7 @@
     uint64_t incarnation = (uint64_t)ts_clock_wall_ms();
     ts_membership_config_t config = {
         .name = settings->name,
-        .address = ts_gateway_settings_reached_at(settings),
+        .address = ts_gateway_settings_peer_address(settings),
         .zone = settings->zone,
         .incarnation = incarnation,
         .seed = ts_hash_mix(ts_hash_text(settings->name), incarnation),
--- a/src/upstream/upstream.c
+++ b/src/upstream/upstream.c
@@ -69,7 +69,7 @@
     void *kept_ctx;
     ts_upstream_broken_t broken; /* NULL: nobody is told */
     void *broken_ctx;
-    ts_wake_t *wake; /* NULL: nobody notices */
+    ts_stall_detector_t *wake; /* NULL: nobody notices */
 };
 
 static void close_connection(ts_connection_t *connection);
@@ -127,8 +127,9 @@
 {
     ts_time_us_t now_us = ts_clock_now_us();
     result->span_us = exchange->sent_us == 0 ? 0 : now_us - exchange->sent_us;
-    if (result->span_us > TS_WAKE_LEAST_US && exchange->upstream->wake != NULL)
-        ts_wake_look(exchange->upstream->wake); // before the answer is held against anybody
+    if (result->span_us > TS_STALL_MIN_US && exchange->upstream->wake != NULL)
+        ts_stall_detector_check(
+            exchange->upstream->wake); // before the answer is held against anybody
     result->is_untimed = exchange->is_untimed;
     if (result->answer != NULL)
         take_load(exchange, result->answer, now_us);
@@ -658,7 +659,7 @@
     upstream->broken_ctx = ctx;
 }
 
-void ts_upstream_on_late(ts_upstream_t *upstream, ts_wake_t *wake)
+void ts_upstream_on_late(ts_upstream_t *upstream, ts_stall_detector_t *wake)
 {
     upstream->wake = wake;
 }
--- a/tests/config/test_gateway_settings.c
+++ b/tests/config/test_gateway_settings.c
@@ -28,17 +28,17 @@
     assert_non_null(settings);
     assert_int_equal(settings->drain_ms, 3000);
     assert_int_equal(settings->retry_window_ms, 10000);
-    assert_null(ts_gateway_settings_reached_at(settings));
+    assert_null(ts_gateway_settings_peer_address(settings));
     ts_gateway_settings_free(settings);
 }
 
 static void test_where_it_is_reached(void **state)
 {
     ts_gateway_settings_t *settings = load("peers: 127.0.0.1:4\n");
-    assert_string_equal(ts_gateway_settings_reached_at(settings), "127.0.0.1:4");
+    assert_string_equal(ts_gateway_settings_peer_address(settings), "127.0.0.1:4");
     ts_gateway_settings_free(settings);
     settings = load("peers: 127.0.0.1:4\nadvertised: 127.0.0.9:5\n");
-    assert_string_equal(ts_gateway_settings_reached_at(settings), "127.0.0.9:5");
+    assert_string_equal(ts_gateway_settings_peer_address(settings), "127.0.0.9:5");
     ts_gateway_settings_free(settings);
 }
 
--- a/tests/config/test_tenant_table.c
+++ b/tests/config/test_tenant_table.c
@@ -21,7 +21,7 @@
 static const ts_tenant_t *holder(const ts_tenants_t *tenants, const char *key)
 {
     ts_key_digest_t digest = ts_key_digest(key, strlen(key));
-    return ts_tenants_find_holder(tenants, &digest);
+    return ts_tenants_find_by_key(tenants, &digest);
 }
 
 static void test_each_key_leads_to_its_tenant(void **state)
--- a/tests/platform/test_documents.c
+++ b/tests/platform/test_documents.c
@@ -107,11 +107,11 @@
                                                      "]}",
         &reasons);
     assert_non_null(traffic);
-    assert_true(ts_traffic_find_route(traffic, "r")->is_open);
-    assert_false(ts_traffic_find_route(traffic, "k")->is_open);
+    assert_true(ts_traffic_find_route(traffic, "r")->is_auth_exempt);
+    assert_false(ts_traffic_find_route(traffic, "k")->is_auth_exempt);
     const ts_tenant_t *tenant = ts_tenants_find(traffic->tenants, "t");
     ts_key_digest_t digest = ts_key_digest("b", 1);
-    assert_ptr_equal(ts_tenants_find_holder(traffic->tenants, &digest), tenant);
+    assert_ptr_equal(ts_tenants_find_by_key(traffic->tenants, &digest), tenant);
     assert_int_equal(tenant->priority, 2);
     assert_true(tenant->rate == 1.5 && tenant->burst == 20);
     assert_true(ts_tenants_find(traffic->tenants, "u")->rate == 0);
