--- a/src/cli/command.c
+++ b/src/cli/command.c
@@ -1,4 +1,4 @@
-/** Finding, parsing and helping subcommands. */
+/** Subcommand lookup, argument parsing and help. */
 #include "tealspar/command.h"
 
 #include <glib.h>
@@ -14,7 +14,7 @@
     while ((plugin = ts_plugin_next(TS_PLUGIN_COMMAND, plugin)) != NULL) {
         fprintf(out, "  %-12s %s\n", plugin->name, plugin->description);
     }
-    fprintf(out, "\n'%s COMMAND --help' describes a command.\n", program);
+    fprintf(out, "\nSee '%s COMMAND --help' for the options of a command.\n", program);
 }
 
 int ts_command_main(const char *program, const char *about, int argc, char **argv)
@@ -29,8 +29,7 @@
     }
     const ts_command_t *command = ts_plugin_find(TS_PLUGIN_COMMAND, argv[1]);
     if (command == NULL) {
-        fprintf(stderr, "%s: no command is named '%s'; see '%s --help'\n", program, argv[1],
-                program);
+        fprintf(stderr, "%s: unknown command '%s'; see '%s --help'\n", program, argv[1], program);
         return TS_EXIT_USAGE;
     }
     char *name = g_strdup_printf("%s %s", program, argv[1]);
--- a/src/cli/command_counters.c
+++ b/src/cli/command_counters.c
@@ -1,4 +1,4 @@
-/** `tealspar counters`: the table of counters for the operators' page. */
+/** `tealspar counters`: prints the table of metrics for the operations documentation. */
 #include <stdio.h>
 
 #include "tealspar/command.h"
@@ -11,7 +11,7 @@
     struct arg_end *end = arg_end(4);
     void *table[] = {help, end};
     int exit_code = TS_EXIT_OK;
-    if (ts_command_parse(argc, argv, table, 2, "print all counters as a Markdown table",
+    if (ts_command_parse(argc, argv, table, 2, "print all metrics as a Markdown table",
                          &exit_code)) {
         GString *text = g_string_new(NULL);
         ts_counters_write_markdown(text);
@@ -25,4 +25,4 @@
 
 static const ts_command_t command = {run_counters};
 TS_REGISTER_PLUGIN(command_counters, TS_PLUGIN_COMMAND, "counters", 8, &command,
-                   "print the table of counters")
+                   "print the table of metrics")
--- a/src/cli/command_gateway.c
+++ b/src/cli/command_gateway.c
@@ -41,10 +41,10 @@
     return TS_EXIT_OK;
 }
 
-static int run_file(const char *path, bool only_check)
+static int run_file(const char *path, bool is_check)
 {
     if (path == NULL) {
-        fprintf(stderr, "tealspar gateway: no settings: give --settings or set %s\n",
+        fprintf(stderr, "tealspar gateway: no settings file: use --settings or set %s\n",
                 SETTINGS_VARIABLE);
         return TS_EXIT_USAGE;
     }
@@ -52,7 +52,7 @@
     if (settings == NULL) {
         return TS_EXIT_USAGE;
     }
-    if (only_check) {
+    if (is_check) {
         ts_gateway_settings_free(settings);
         return TS_EXIT_OK;
     }
@@ -63,16 +63,16 @@
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
     struct arg_file *file = arg_file0(
-        "s", "settings", "FILE", "the settings (YAML); else the file " SETTINGS_VARIABLE " names");
-    struct arg_lit *dry = arg_lit0(NULL, "check", "only check the settings");
+        "s", "settings", "FILE", "settings (YAML); default: the file named by " SETTINGS_VARIABLE);
+    struct arg_lit *check = arg_lit0(NULL, "check", "validate the settings and exit");
     struct arg_end *end = arg_end(ERRORS_MAX);
-    void *table[TABLE_SIZE] = {help, file, dry, end};
+    void *table[TABLE_SIZE] = {help, file, check, end};
     int exit_code = TS_EXIT_OK;
     ts_early_stop_install_handlers();
     if (ts_command_parse(argc, argv, table, TABLE_SIZE, "run a gateway until SIGTERM",
                          &exit_code)) {
         const char *path = file->count > 0 ? file->filename[0] : getenv(SETTINGS_VARIABLE);
-        exit_code = run_file(path, dry->count > 0);
+        exit_code = run_file(path, check->count > 0);
     }
     arg_freetable(table, TABLE_SIZE);
     return exit_code;
@@ -80,4 +80,4 @@
 
 static const ts_command_t command = {run_gateway};
 TS_REGISTER_PLUGIN(command_gateway, TS_PLUGIN_COMMAND, "gateway", 0, &command,
-                   "run a gateway between callers and back ends")
+                   "run a gateway between callers and backends")
--- a/src/cli/command_node.c
+++ b/src/cli/command_node.c
@@ -1,4 +1,4 @@
-/** `tealspar node`: runs a node. Flags override the settings file. */
+/** `tealspar node`: runs a node. Options override the settings file. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +12,7 @@
 #define OVERRIDES_MAX 20
 #define TABLE_SIZE 5
 
-/* Puts "key: value" in the place of the key's line in the YAML text, or at its end. */
+/* Replaces the line of the key in the YAML text by "key: value", or appends it. Frees `text`. */
 static char *override_key(char *text, const char *assignment)
 {
     const char *equals = strchr(assignment, '=');
@@ -49,7 +49,7 @@
     }
     for (int i = 0; i < overrides->count; i++) {
         if (!is_assignment(overrides->sval[i])) {
-            fprintf(stderr, "--set %s: not of the form key=value (%s)\n", overrides->sval[i],
+            fprintf(stderr, "--set %s: expected key=value (%s)\n", overrides->sval[i],
                     ts_error_name(TS_E_ARGUMENT));
             g_free(text);
             return NULL;
@@ -81,18 +81,18 @@
 static int run_node(int argc, char **argv)
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
-    struct arg_file *file = arg_file1("s", "settings", "FILE", "the node's settings (YAML)");
-    struct arg_str *overrides = arg_strn(NULL, "set", "KEY=VALUE", 0, OVERRIDES_MAX,
-                                         "put a setting in the place of the file's");
-    struct arg_lit *dry = arg_lit0(NULL, "check", "only check the settings");
+    struct arg_file *file = arg_file1("s", "settings", "FILE", "settings (YAML)");
+    struct arg_str *overrides =
+        arg_strn(NULL, "set", "KEY=VALUE", 0, OVERRIDES_MAX, "override a setting of the file");
+    struct arg_lit *check = arg_lit0(NULL, "check", "validate the settings and exit");
     struct arg_end *end = arg_end(OVERRIDES_MAX);
-    void *table[TABLE_SIZE] = {help, file, overrides, dry, end};
+    void *table[TABLE_SIZE] = {help, file, overrides, check, end};
     int exit_code = TS_EXIT_OK;
     ts_early_stop_install_handlers();
     if (ts_command_parse(argc, argv, table, TABLE_SIZE, "run a node until SIGTERM", &exit_code)) {
         ts_settings_t *settings = load_settings(file->filename[0], overrides);
         exit_code = settings == NULL ? TS_EXIT_USAGE : TS_EXIT_OK;
-        if (settings != NULL && dry->count == 0) {
+        if (settings != NULL && check->count == 0) {
             exit_code = run_with(settings);
         }
         if (settings != NULL) {
--- a/src/cli/command_query.c
+++ b/src/cli/command_query.c
@@ -1,4 +1,4 @@
-/** `tealspar query` and `tealspar status`: asking a node from the command line. */
+/** `tealspar query` and `tealspar status`: send a query to a node, or print its status. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -32,39 +32,40 @@
     }
 }
 
-static int print_reply(const ts_http_response_t *reply)
+static int print_response(const ts_http_response_t *response)
 {
-    if (reply->error != TS_OK) {
-        fprintf(stderr, "tealspar: %s (%s)\n", ts_error_text(reply->error),
-                ts_error_name(reply->error));
+    if (response->error != TS_OK) {
+        fprintf(stderr, "tealspar: %s (%s)\n", ts_error_text(response->error),
+                ts_error_name(response->error));
         return TS_EXIT_FAILURE;
     }
-    printf("%s\n", reply->body);
-    if (reply->status == HTTP_OK) {
+    printf("%s\n", response->body);
+    if (response->status == HTTP_OK) {
         return TS_EXIT_OK;
     }
-    return reply->status == HTTP_UNKNOWN ? EXIT_UNKNOWN : EXIT_REFUSED;
+    return response->status == HTTP_UNKNOWN ? EXIT_UNKNOWN : EXIT_REFUSED;
 }
 
 static int run_query(int argc, char **argv)
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
     struct arg_str *address = arg_str1("a", "address", "IP:PORT", "a node's address for callers");
-    struct arg_str *kind = arg_str1("k", "kind", "KIND", "kind of query, as declared");
-    struct arg_str *text = arg_str0("t", "text", "TEXT", "what to search for");
-    struct arg_str *key = arg_str0(NULL, "key", "KEY", "key, for kinds that are routed by key");
+    struct arg_str *kind = arg_str1("k", "kind", "KIND", "query kind, as declared");
+    struct arg_str *text = arg_str0("t", "text", "TEXT", "search text");
+    struct arg_str *key = arg_str0(NULL, "key", "KEY", "key, for kinds routed by key");
     struct arg_str *id = arg_str0(NULL, "id", "ID", "request id");
-    struct arg_int *limit = arg_int0("n", "limit", "N", "hits wanted");
-    struct arg_int *offset = arg_int0(NULL, "offset", "N", "hits to pass over");
-    struct arg_int *deadline = arg_int0(NULL, "deadline", "MS", "time for the answer");
+    struct arg_int *limit = arg_int0("n", "limit", "N", "maximum number of hits");
+    struct arg_int *offset = arg_int0(NULL, "offset", "N", "number of hits to skip");
+    struct arg_int *deadline = arg_int0(NULL, "deadline", "MS", "time limit for the answer");
     struct arg_lit *unrepeatable = arg_lit0(NULL, "unrepeatable", "run at most once");
     struct arg_end *end = arg_end(8);
     void *table[QUERY_TABLE_SIZE] = {help,  address, kind,     text,         key, id,
                                      limit, offset,  deadline, unrepeatable, end};
     int exit_code = TS_EXIT_OK;
-    if (ts_command_parse(argc, argv, table, QUERY_TABLE_SIZE,
-                         "send one query; exit 0 answered, 3 refused, 4 unknown, 1 no connection",
-                         &exit_code)) {
+    if (ts_command_parse(
+            argc, argv, table, QUERY_TABLE_SIZE,
+            "send one query; exits with 0: answered, 3: refused, 4: unknown, 1: failed",
+            &exit_code)) {
         json_t *root = json_object();
         set_text(root, "kind", kind);
         set_text(root, "text", text);
@@ -78,10 +79,10 @@
             json_object_set_new(root, "issued_at_ms", json_integer(ts_clock_wall_ms()));
         }
         char *body = json_dumps(root, JSON_COMPACT);
-        ts_http_response_t reply =
+        ts_http_response_t response =
             ts_http_fetch(address->sval[0], "POST", "/v1/query", body, TIMEOUT_MS);
-        exit_code = print_reply(&reply);
-        g_free(reply.body);
+        exit_code = print_response(&response);
+        g_free(response.body);
         free(body);
         json_decref(root);
     }
@@ -96,13 +97,14 @@
     struct arg_end *end = arg_end(4);
     void *table[STATUS_TABLE_SIZE] = {help, address, end};
     int exit_code = TS_EXIT_OK;
-    if (ts_command_parse(argc, argv, table, STATUS_TABLE_SIZE,
-                         "print a node's view of the fleet, its ownership and its configuration",
-                         &exit_code)) {
-        ts_http_response_t reply =
+    if (ts_command_parse(
+            argc, argv, table, STATUS_TABLE_SIZE,
+            "print a node's view of the fleet, its owned backends and its configuration",
+            &exit_code)) {
+        ts_http_response_t response =
             ts_http_fetch(address->sval[0], "GET", "/status", NULL, STATUS_TIMEOUT_MS);
-        exit_code = print_reply(&reply);
-        g_free(reply.body);
+        exit_code = print_response(&response);
+        g_free(response.body);
     }
     arg_freetable(table, STATUS_TABLE_SIZE);
     return exit_code;
@@ -112,4 +114,4 @@
 TS_REGISTER_PLUGIN(command_query, TS_PLUGIN_COMMAND, "query", 3, &query, "send one query to a node")
 static const ts_command_t status = {run_status};
 TS_REGISTER_PLUGIN(command_status, TS_PLUGIN_COMMAND, "status", 4, &status,
-                   "show a node's view of the fleet")
+                   "print a node's view of the fleet")
--- a/src/cli/command_routes.c
+++ b/src/cli/command_routes.c
@@ -1,4 +1,4 @@
-/** `tealspar routes`: checks a configuration offline, and says which route a request takes. */
+/** `tealspar routes`: validates a configuration offline, or prints the route of a request. */
 #include <stdio.h>
 
 #include "tealspar/command.h"
@@ -19,12 +19,12 @@
     case TS_TARGET_GATHER:
         break;
     }
-    return "a part from each service";
+    return "one part to each service";
 }
 
 static void print_regions(const GPtrArray *regions)
 {
-    printf("  served in   ");
+    printf("  regions     ");
     for (guint i = 0; regions != NULL && i < regions->len; i++)
         printf(" %s", (const char *)g_ptr_array_index(regions, i));
     printf("%s\n", regions == NULL ? " any region" : "");
@@ -33,12 +33,12 @@
 static void print_limit(const ts_tenant_t *tenant)
 {
     if (tenant->rate > 0)
-        printf("%g a second and %g more, over all gateways", tenant->rate, tenant->burst);
+        printf("%g requests per second, burst %g, over all gateways", tenant->rate, tenant->burst);
     else
         printf("no limit");
 }
 
-/* By name; keys are counted, not shown. */
+/* Prints the number of keys only, as keys are secret. */
 static void print_tenants(const ts_tenants_t *tenants)
 {
     for (unsigned i = 0; i < ts_tenants_count(tenants); i++) {
@@ -52,7 +52,7 @@
 static void print_route(const ts_traffic_route_t *route, bool has_tenants)
 {
     printf("route %s: %s%s\n", route->name, route->host, route->prefix);
-    printf("  goes to      %s\n", describe_kind(route->kind));
+    printf("  targets      %s\n", describe_kind(route->kind));
     for (guint i = 0; i < route->targets->len; i++) {
         const ts_target_t *target = &g_array_index(route->targets, ts_target_t, i);
         printf("               %s", target->service);
@@ -61,24 +61,25 @@
         }
         printf("\n");
     }
-    printf("  repeatable   %s\n", route->is_repeatable ? "yes" : "no: sent once, unless not run");
+    printf("  repeatable   %s\n",
+           route->is_repeatable ? "yes" : "no: sent again only if not executed");
     printf("  attempts     %u\n", route->attempts_max);
-    printf("  timeout      %u ms, aim %u ms, priority %u\n", route->timeout_ms, route->aim_ms,
-           route->priority);
+    printf("  timeout      %u ms, target latency %u ms, priority %u\n", route->timeout_ms,
+           route->aim_ms, route->priority);
     printf("  key          %s\n", has_tenants && !route->is_auth_exempt ? "needed" : "not needed");
     print_regions(route->regions);
     if (route->kind == TS_TARGET_GATHER) {
-        printf("  answer       the greatest %u records, from %g of the parts at least\n",
-               route->top_count, route->coverage_min);
+        printf("  response     top %u records, from at least %g of the parts\n", route->top_count,
+               route->coverage_min);
     }
 }
 
-/* Exit code: a request without a route is a finding, not a wrong document. */
-static int explain(const ts_traffic_t *traffic, const char *host, const char *path)
+/* Returns the exit code. A request without a route is a failure, but not an invalid document. */
+static int print_match(const ts_traffic_t *traffic, const char *host, const char *path)
 {
     const ts_traffic_route_t *route = ts_traffic_match(traffic, host, path);
     if (route == NULL) {
-        printf("no route for %s%s in version %lu: 404\n", host, path,
+        printf("no route for %s%s in version %lu: status 404\n", host, path,
                (unsigned long)traffic->version);
         return TS_EXIT_FAILURE;
     }
@@ -86,15 +87,13 @@
     return TS_EXIT_OK;
 }
 
-/** What is asked of a configuration. */
-typedef struct routes_question {
-    const char *host; /* NULL: whether it passes */
+typedef struct routes_options {
+    const char *host; /* NULL: only validate the configuration */
     const char *path;
     bool lists_tenants;
-} routes_question_t;
+} routes_options_t;
 
-static int read_file(const ts_dialect_t *dialect, const char *file,
-                     const routes_question_t *question)
+static int read_file(const ts_dialect_t *dialect, const char *file, const routes_options_t *options)
 {
     size_t length = 0;
     char *text = ts_command_read_file(file, &length);
@@ -107,13 +106,13 @@
     ts_traffic_t *traffic = dialect->read_traffic(text, length, &problems);
     if (traffic == NULL) {
         ts_problems_print(&problems, file);
-    } else if (question->host != NULL) {
-        exit_code = explain(traffic, question->host, question->path);
+    } else if (options->host != NULL) {
+        exit_code = print_match(traffic, options->host, options->path);
     } else {
-        printf("%s: version %lu, %u routes, %u tenants, pass\n", file,
+        printf("%s: version %lu, %u routes, %u tenants, valid\n", file,
                (unsigned long)traffic->version, traffic->routes->len,
                ts_tenants_count(traffic->tenants));
-        if (question->lists_tenants)
+        if (options->lists_tenants)
             print_tenants(traffic->tenants);
         exit_code = TS_EXIT_OK;
     }
@@ -127,28 +126,28 @@
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
     struct arg_file *file =
-        arg_file1(NULL, NULL, "FILE", "the configuration, as the service has it");
-    struct arg_str *name = arg_str0(NULL, "dialect", "NAME", "its form; absent: " DIALECT_DEFAULT);
-    struct arg_str *host = arg_str0("H", "host", "HOST", "say which route a request of this host");
-    struct arg_str *path = arg_str0("p", "path", "PATH", "and this path takes; absent: /");
-    struct arg_lit *tenants = arg_lit0("t", "tenants", "list tenants and their limits");
+        arg_file1(NULL, NULL, "FILE", "configuration document of the configuration service");
+    struct arg_str *name =
+        arg_str0(NULL, "dialect", "NAME", "dialect of the document; default: " DIALECT_DEFAULT);
+    struct arg_str *host =
+        arg_str0("H", "host", "HOST", "print the route of a request to this host");
+    struct arg_str *path = arg_str0("p", "path", "PATH", "path of the request; default: /");
+    struct arg_lit *tenants = arg_lit0("t", "tenants", "print the tenants and their limits");
     struct arg_end *end = arg_end(ERRORS_MAX);
     void *table[TABLE_SIZE] = {help, file, name, host, path, tenants, end};
     int exit_code = TS_EXIT_OK;
     if (ts_command_parse(argc, argv, table, TABLE_SIZE,
-                         "check a configuration of routes, or say which route a request takes",
-                         &exit_code)) {
+                         "validate a configuration, or print the route of a request", &exit_code)) {
         const char *dialect_name = name->count > 0 ? name->sval[0] : DIALECT_DEFAULT;
         const ts_dialect_t *dialect = ts_plugin_find(TS_PLUGIN_DIALECT, dialect_name);
         if (dialect == NULL) {
-            fprintf(stderr, "no dialect is named '%s' (%s)\n", dialect_name,
+            fprintf(stderr, "unknown dialect '%s' (%s)\n", dialect_name,
                     ts_error_name(TS_E_ARGUMENT));
             exit_code = TS_EXIT_USAGE;
         } else {
-            routes_question_t question = {host->count > 0 ? host->sval[0] : NULL,
-                                          path->count > 0 ? path->sval[0] : "/",
-                                          tenants->count > 0};
-            exit_code = read_file(dialect, file->filename[0], &question);
+            routes_options_t options = {host->count > 0 ? host->sval[0] : NULL,
+                                        path->count > 0 ? path->sval[0] : "/", tenants->count > 0};
+            exit_code = read_file(dialect, file->filename[0], &options);
         }
     }
     arg_freetable(table, TABLE_SIZE);
@@ -157,4 +156,4 @@
 
 static const ts_command_t command = {run_routes};
 TS_REGISTER_PLUGIN(command_routes, TS_PLUGIN_COMMAND, "routes", 1, &command,
-                   "check a configuration of routes, or say which route a request takes")
+                   "validate a configuration, or print the route of a request")
--- a/src/cli/command_trace.c
+++ b/src/cli/command_trace.c
@@ -1,4 +1,4 @@
-/** `tealspar trace`: one request's story from the logs of several nodes, in order of time. */
+/** `tealspar trace`: prints the log lines of a request from several nodes, sorted by time. */
 #include <glib.h>
 #include <jansson.h>
 #include <stdio.h>
@@ -20,9 +20,9 @@
 typedef struct trace {
     const char *request;
     GArray *lines; /* of trace_line_t */
-    unsigned long read;
-    unsigned long unreadable;
-    GHashTable *instances; /* ids that the request met */
+    unsigned long lines_read;
+    unsigned long lines_malformed;
+    GHashTable *instances; /* ids of the backends in these lines */
 } trace_t;
 
 static void clear_line(gpointer data)
@@ -30,25 +30,25 @@
     json_decref(((trace_line_t *)data)->fields);
 }
 
-static const char *text_of(const json_t *fields, const char *name)
+static const char *get_text(const json_t *fields, const char *name)
 {
     const char *text = json_string_value(json_object_get(fields, name));
     return text == NULL ? "" : text;
 }
 
-/* A collector may put its own words before a line. */
+/* A log collector may prepend text to a line. */
 static const char *find_object(const char *line)
 {
     return strchr(line, '{');
 }
 
 /*
- * Whether a line's request is the one asked for, by its id or by the digest that all its tries
- * have; an id of digits alone is written as a number.
+ * Whether a line belongs to the request, by its id or by its digest, which is the same for all
+ * attempts. Ids that consist of digits are logged as numbers.
  */
-static bool is_of_request(const json_t *fields, const char *request)
+static bool matches_request(const json_t *fields, const char *request)
 {
-    if (strcmp(text_of(fields, "digest"), request) == 0)
+    if (strcmp(get_text(fields, "digest"), request) == 0)
         return true;
     const json_t *id = json_object_get(fields, "request");
     if (json_is_integer(id)) {
@@ -59,21 +59,21 @@
     return json_is_string(id) && strcmp(json_string_value(id), request) == 0;
 }
 
-static void take_line(trace_t *trace, const char *text)
+static void parse_line(trace_t *trace, const char *text)
 {
     const char *object = find_object(text);
     json_t *fields = object == NULL ? NULL : json_loads(object, JSON_DISABLE_EOF_CHECK, NULL);
-    trace->read++;
+    trace->lines_read++;
     if (fields == NULL) {
-        trace->unreadable++;
+        trace->lines_malformed++;
         return;
     }
-    if (!is_of_request(fields, trace->request)) {
+    if (!matches_request(fields, trace->request)) {
         json_decref(fields);
         return;
     }
-    if (*text_of(fields, "instance") != '\0') {
-        g_hash_table_add(trace->instances, g_strdup(text_of(fields, "instance")));
+    if (*get_text(fields, "instance") != '\0') {
+        g_hash_table_add(trace->instances, g_strdup(get_text(fields, "instance")));
     }
     trace_line_t line = {json_integer_value(json_object_get(fields, "time_ms")), fields};
     g_array_append_val(trace->lines, line);
@@ -83,13 +83,13 @@
 {
     FILE *file = strcmp(path, "-") == 0 ? stdin : fopen(path, "r");
     if (file == NULL) {
-        fprintf(stderr, "%s: cannot be read (%s)\n", path, ts_error_name(TS_E_FILE));
+        fprintf(stderr, "%s: cannot read the file (%s)\n", path, ts_error_name(TS_E_FILE));
         return false;
     }
     char *line = NULL;
     size_t size = 0;
     while (getline(&line, &size, file) >= 0) {
-        take_line(trace, line);
+        parse_line(trace, line);
     }
     free(line);
     if (file != stdin) {
@@ -105,11 +105,11 @@
     return (a->time_ms > b->time_ms) - (a->time_ms < b->time_ms);
 }
 
-static bool is_heading(const char *name)
+static bool is_header_field(const char *name)
 {
-    static const char *const headings[] = {"v", "time_ms", "level", "node", "event", "request"};
-    for (size_t i = 0; i < G_N_ELEMENTS(headings); i++) {
-        if (strcmp(name, headings[i]) == 0) {
+    static const char *const fields[] = {"v", "time_ms", "level", "node", "event", "request"};
+    for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
+        if (strcmp(name, fields[i]) == 0) {
             return true;
         }
     }
@@ -121,10 +121,10 @@
     const char *name = NULL;
     json_t *value = NULL;
     printf("%+6" JSON_INTEGER_FORMAT " ms  %-24s %-16s", line->time_ms - begin_ms,
-           text_of(line->fields, "node"), text_of(line->fields, "event"));
+           get_text(line->fields, "node"), get_text(line->fields, "event"));
     json_object_foreach(line->fields, name, value)
     {
-        if (!is_heading(name)) {
+        if (!is_header_field(name)) {
             char *text = json_dumps(value, JSON_ENCODE_ANY);
             printf(" %s=%s", name, text);
             free(text);
@@ -140,8 +140,9 @@
         const trace_line_t *first = &g_array_index(trace->lines, trace_line_t, 0);
         print_line(&g_array_index(trace->lines, trace_line_t, i), first->time_ms);
     }
-    printf("%u lines of the request, %u back ends met; %lu lines read, %lu not readable\n",
-           trace->lines->len, g_hash_table_size(trace->instances), trace->read, trace->unreadable);
+    printf("%u lines of the request, %u backends; %lu lines read, %lu malformed\n",
+           trace->lines->len, g_hash_table_size(trace->instances), trace->lines_read,
+           trace->lines_malformed);
 }
 
 static int trace_files(const char *request, const struct arg_file *files)
@@ -164,14 +165,14 @@
 static int run_trace(int argc, char **argv)
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
-    struct arg_str *request = arg_str1(NULL, NULL, "ID", "the request's id, or its digest");
+    struct arg_str *request = arg_str1(NULL, NULL, "ID", "id or digest of the request");
     struct arg_file *files =
-        arg_filen(NULL, NULL, "FILE", 1, FILES_MAX, "logs of the nodes; - for standard input");
+        arg_filen(NULL, NULL, "FILE", 1, FILES_MAX, "log files of nodes; - for standard input");
     struct arg_end *end = arg_end(ERRORS_MAX);
     void *table[TABLE_SIZE] = {help, request, files, end};
     int exit_code = TS_EXIT_OK;
-    if (ts_command_parse(argc, argv, table, TABLE_SIZE, "tell one request's story from logs",
-                         &exit_code)) {
+    if (ts_command_parse(argc, argv, table, TABLE_SIZE,
+                         "print the log lines of a request, sorted by time", &exit_code)) {
         exit_code = trace_files(request->sval[0], files);
     }
     arg_freetable(table, TABLE_SIZE);
@@ -180,4 +181,4 @@
 
 static const ts_command_t command = {run_trace};
 TS_REGISTER_PLUGIN(command_trace, TS_PLUGIN_COMMAND, "trace", 0, &command,
-                   "tell one request's story from the logs of several nodes")
+                   "print the log lines of a request from several nodes")
--- a/src/cli/command_version.c
+++ b/src/cli/command_version.c
@@ -1,4 +1,4 @@
-/** `tealspar version`. */
+/** `tealspar version`: prints the version. */
 #include <stdio.h>
 
 #include "tealspar/command.h"
--- a/src/cli/declarations_file.c
+++ b/src/cli/declarations_file.c
@@ -1,4 +1,4 @@
-/** Loading declarations from a file. */
+/** Loading of declarations from a file. */
 #include "tealspar/declarations_file.h"
 
 #include <stdio.h>
--- a/src/config/declarations.c
+++ b/src/config/declarations.c
@@ -1,4 +1,4 @@
-/** Loading, checking and indexing of declarations. */
+/** Loading, validation and indexing of declarations. */
 #include "tealspar/declarations.h"
 
 #include <math.h>
@@ -9,7 +9,7 @@
 #include "tealspar/hash.h"
 #include "tealspar/yaml_load.h"
 
-#define MAX_SHARDS_A_GROUP 10000U
+#define MAX_SHARDS_PER_GROUP 10000U
 #define MAX_SLOTS 1024U
 #define MAX_CONNECTIONS 65535U
 #define MAX_PROBLEMS 20U
@@ -17,11 +17,11 @@
 #define DEFAULT_RESULT_LIMIT 100U
 #define DEFAULT_SLOT_SHARE 100U
 
-/* What the checks share: the document, and where to put problems. */
+/* Context of the validation. */
 typedef struct check {
     ts_declarations_t *declarations;
     ts_problems_t *problems;
-    GHashTable *names; /* names seen in the list being checked */
+    GHashTable *names; /* names seen so far in the list being validated */
 } check_t;
 
 static void add_problem(check_t *check, const char *path, const char *format, ...)
@@ -42,7 +42,7 @@
     g_free(reason);
 }
 
-/* Formats the path of a field of a list's item, in a buffer that the next call reuses. */
+/* Formats the path of an item's field into a buffer that the next call overwrites. */
 static const char *item_path(const char *list, unsigned item, const char *field)
 {
     static _Thread_local char path[256];
@@ -57,10 +57,10 @@
     return path;
 }
 
-static void check_range(check_t *check, const char *path, double value, double least, double most)
+static void check_range(check_t *check, const char *path, double value, double min, double max)
 {
-    if (!(value >= least && value <= most)) {
-        add_problem(check, path, "%g is not between %g and %g", value, least, most);
+    if (!(value >= min && value <= max)) {
+        add_problem(check, path, "%g is not between %g and %g", value, min, max);
     }
 }
 
@@ -70,7 +70,7 @@
         add_problem(check, path, "the name '%s' must not contain '/'", name);
     }
     if (!g_hash_table_add(check->names, name)) {
-        add_problem(check, path, "the name '%s' stands twice", name);
+        add_problem(check, path, "duplicate name '%s'", name);
     }
 }
 
@@ -86,7 +86,7 @@
         for (unsigned j = 0; is_term && j < i; j++) {
             if (ts_label_has_same_key(labels[i], labels[j])) {
                 add_problem(check, entry_path(list, item, field, i),
-                            "'%s' and '%s' contradict each other: one key, two terms", labels[j],
+                            "'%s' and '%s' contradict each other: two terms for one key", labels[j],
                             labels[i]);
             }
         }
@@ -108,7 +108,8 @@
         const ts_group_t *group = &check->declarations->groups[i];
         check_name(check, item_path("groups", i, "name"), group->name);
         check_labels(check, "groups", i, "labels", group->labels, group->labels_count, false);
-        check_range(check, item_path("groups", i, "shards"), group->shards, 1, MAX_SHARDS_A_GROUP);
+        check_range(check, item_path("groups", i, "shards"), group->shards, 1,
+                    MAX_SHARDS_PER_GROUP);
     }
 }
 
@@ -143,7 +144,7 @@
         for (unsigned j = 0; j < i; j++) {
             if (strcmp(backend->shards[i], backend->shards[j]) == 0) {
                 add_problem(check, entry_path("backends", item, "shards", i),
-                            "the shard '%s' stands twice", backend->shards[i]);
+                            "duplicate shard '%s'", backend->shards[i]);
             }
         }
     }
@@ -156,15 +157,15 @@
     check_name(check, item_path("backends", i, "name"), backend->name);
     if (ts_address_parse(backend->address, &parsed) != TS_OK) {
         add_problem(check, item_path("backends", i, "address"),
-                    "'%s' is not an IP number with a port", backend->address);
+                    "'%s' is not an IP address with a port", backend->address);
     }
     if (!g_hash_table_add(addresses, backend->address)) {
-        add_problem(check, item_path("backends", i, "address"), "the address '%s' stands twice",
+        add_problem(check, item_path("backends", i, "address"), "duplicate address '%s'",
                     backend->address);
     }
     int zone = ts_declarations_zone_index(check->declarations, backend->zone);
     if (zone < 0) {
-        add_problem(check, item_path("backends", i, "zone"), "no zone is named '%s'",
+        add_problem(check, item_path("backends", i, "zone"), "no zone '%s' is declared",
                     backend->zone);
     }
     backend->zone_index = (uint32_t)zone;
@@ -197,15 +198,15 @@
     }
     if (selector->route != TS_ROUTE_KEY) {
         add_problem(check, item_path("selectors", i, "route"),
-                    "an unrepeatable kind must be routed by key, to one shard");
+                    "an unrepeatable kind must be routed by key to a single shard");
     }
     if (selector->hedge_percent > 0) {
         add_problem(check, item_path("selectors", i, "hedge_percent"),
-                    "an unrepeatable kind contradicts hedges");
+                    "an unrepeatable kind must not be hedged");
     }
     if (selector->retry_percent > 0) {
         add_problem(check, item_path("selectors", i, "retry_percent"),
-                    "an unrepeatable kind contradicts retries");
+                    "an unrepeatable kind must not be retried");
     }
 }
 
@@ -232,8 +233,8 @@
                 TS_RESULT_LIMIT_MAX);
     if (selector->wait == TS_WAIT_COVERAGE && selector->least_coverage_percent <= 0) {
         add_problem(check, item_path("selectors", i, "wait"),
-                    "wait 'coverage' contradicts a least coverage of 0: nothing would be waited "
-                    "for");
+                    "wait 'coverage' contradicts a minimum coverage of 0: the query would not wait "
+                    "for any shard");
     }
     check_unrepeatable(check, i, selector);
 }
@@ -248,30 +249,30 @@
     }
 }
 
-/* Lists the back ends that hold a shard, for every shard: arrays of indexes. */
-static GArray **list_holders(const ts_declarations_t *declarations)
+/* For each shard, returns the indexes of the backends that have it. */
+static GArray **index_replicas(const ts_declarations_t *declarations)
 {
-    GArray **holders = g_new0(GArray *, declarations->shards_count);
+    GArray **replicas_by_shard = g_new0(GArray *, declarations->shards_count);
     for (unsigned i = 0; i < declarations->shards_count; i++) {
-        holders[i] = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+        replicas_by_shard[i] = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     }
     for (uint32_t b = 0; b < declarations->backends_count; b++) {
         const ts_backend_t *backend = &declarations->backends[b];
         for (unsigned i = 0; i < backend->shards_count; i++) {
             unsigned shard = GPOINTER_TO_UINT(
                 g_hash_table_lookup(declarations->shard_by_name, backend->shards[i]));
-            g_array_append_val(holders[shard - 1], b);
+            g_array_append_val(replicas_by_shard[shard - 1], b);
         }
     }
-    return holders;
+    return replicas_by_shard;
 }
 
 static void collect_replicas(const ts_declarations_t *declarations, const ts_selector_t *selector,
-                             const GArray *holders, GArray *replicas)
+                             const GArray *replicas_by_shard, GArray *replicas)
 {
-    g_assert(holders != NULL);
-    for (guint i = 0; i < holders->len; i++) {
-        uint32_t index = g_array_index(holders, uint32_t, i);
+    g_assert(replicas_by_shard != NULL);
+    for (guint i = 0; i < replicas_by_shard->len; i++) {
+        uint32_t index = g_array_index(replicas_by_shard, uint32_t, i);
         const ts_backend_t *backend = &declarations->backends[index];
         if (ts_labels_match(selector->backends, selector->backends_count, backend->labels,
                             backend->labels_count)) {
@@ -280,8 +281,8 @@
     }
 }
 
-/* Works out which shards a selector reaches and which back ends serve each for it. */
-static void plan_selector(check_t *check, unsigned item, GArray **holders)
+/* Computes the shards that a selector reaches and the backends that serve each of them. */
+static void resolve_selector(check_t *check, unsigned item, GArray **replicas_by_shard)
 {
     const ts_declarations_t *declarations = check->declarations;
     ts_selector_t *selector = &check->declarations->selectors[item];
@@ -296,10 +297,10 @@
         }
         g_array_append_val(reach, s);
         g_array_append_val(begin, replicas->len);
-        collect_replicas(declarations, selector, holders[s], replicas);
+        collect_replicas(declarations, selector, replicas_by_shard[s], replicas);
         if (replicas->len == g_array_index(begin, uint32_t, begin->len - 1)) {
             add_problem(check, item_path("selectors", item, "backends"),
-                        "no back end that kind '%s' may reach holds the shard '%s'", selector->kind,
+                        "no backend that kind '%s' may reach has the shard '%s'", selector->kind,
                         declarations->shards[s].name);
         }
     }
@@ -313,20 +314,20 @@
     selector->replicas = (uint32_t *)(void *)g_array_free(replicas, FALSE);
 }
 
-static void plan_selectors(check_t *check)
+static void resolve_selectors(check_t *check)
 {
     if (check->declarations->shards_count == 0) {
-        return; /* groups have at least one shard, so this does not come to pass */
+        return; /* cannot happen: there is a group, and each group has a shard */
     }
-    GArray **holders = list_holders(check->declarations);
+    GArray **replicas_by_shard = index_replicas(check->declarations);
     for (unsigned i = 0; i < check->declarations->selectors_count; i++) {
         apply_defaults(&check->declarations->selectors[i]);
-        plan_selector(check, i, holders);
+        resolve_selector(check, i, replicas_by_shard);
     }
     for (unsigned i = 0; i < check->declarations->shards_count; i++) {
-        g_array_free(holders[i], TRUE);
+        g_array_free(replicas_by_shard[i], TRUE);
     }
-    g_free(holders);
+    g_free(replicas_by_shard);
 }
 
 static void check_document(ts_declarations_t *declarations, ts_problems_t *problems)
@@ -346,7 +347,7 @@
         }
     }
     if (ts_problems_count(problems) == 0) {
-        plan_selectors(&check);
+        resolve_selectors(&check);
     }
     g_hash_table_destroy(check.names);
 }
@@ -355,8 +356,8 @@
 {
     void *data = NULL;
     if (length > TS_DECLARATIONS_BYTES_MAX) {
-        ts_problems_add(problems, TS_E_TOO_LARGE, 0, "(document)", "%zu bytes are over the limit",
-                        length);
+        ts_problems_add(problems, TS_E_TOO_LARGE, 0, "(document)",
+                        "document size of %zu bytes exceeds the limit", length);
         return NULL;
     }
     if (ts_yaml_load(text, length, &ts_declarations_schema, &data, problems) != TS_OK) {
--- a/src/config/declarations_schema.c
+++ b/src/config/declarations_schema.c
@@ -1,4 +1,4 @@
-/** The libcyaml schema of declarations: keys, types and which of them may be left out. */
+/** The libcyaml schema of declarations: keys, types and optional keys. */
 #include "declarations_schema.h"
 
 #include "tealspar/declarations-t.h"
--- a/src/config/declarations_schema.h
+++ b/src/config/declarations_schema.h
@@ -4,7 +4,7 @@
 
 #include <cyaml/cyaml.h>
 
-/** Schema of a whole document; its data is a ts_declarations_t. */
+/** Schema of a document, which is loaded as a ts_declarations_t. */
 extern const cyaml_schema_value_t ts_declarations_schema;
 
 #endif
--- a/src/config/gateway_settings.c
+++ b/src/config/gateway_settings.c
@@ -1,4 +1,4 @@
-/** Loading and checking of a gateway's settings. */
+/** Loading and validation of gateway settings. */
 #include "tealspar/gateway_settings.h"
 
 #include "tealspar/address.h"
@@ -12,7 +12,7 @@
 #define DEFAULT_DRAIN_MS 3000
 #define DEFAULT_HEARTBEAT_MS 1200
 #define DEFAULT_GRACE_MS 10000
-#define DEFAULT_WINDOW_MS 10000
+#define DEFAULT_RETRY_WINDOW_MS 10000
 #define DEFAULT_REVOKE_MS 5000
 #define DEFAULT_QUOTA_WINDOW_MS 5000
 #define WINDOW_MIN_MS 100
@@ -89,7 +89,7 @@
 {
     struct sockaddr_storage parsed;
     if (value != NULL && ts_address_parse(value, &parsed) != TS_OK) {
-        ts_problems_add(problems, TS_E_INVALID, 0, path, "'%s' is not an IP number with a port",
+        ts_problems_add(problems, TS_E_INVALID, 0, path, "'%s' is not an IP address with a port",
                         value);
     }
 }
@@ -106,24 +106,24 @@
         check_address(problems, "seeds", settings->seeds[i]);
     }
     if (ts_plugin_find(TS_PLUGIN_DIALECT, settings->dialect) == NULL) {
-        ts_problems_add(problems, TS_E_INVALID, 0, "dialect", "no dialect is named '%s'",
+        ts_problems_add(problems, TS_E_INVALID, 0, "dialect", "unknown dialect '%s'",
                         settings->dialect);
     }
     if (settings->retry_ratio < 0 || settings->retry_slack < 0) {
-        ts_problems_add(problems, TS_E_INVALID, 0, "retry_ratio", "must not be below zero");
+        ts_problems_add(problems, TS_E_INVALID, 0, "retry_ratio", "must not be negative");
     }
     if (settings->warmup_overrun < 0 || settings->warmup_slack < 0) {
-        ts_problems_add(problems, TS_E_INVALID, 0, "warmup_overrun", "must not be below zero");
+        ts_problems_add(problems, TS_E_INVALID, 0, "warmup_overrun", "must not be negative");
     }
     if (settings->quota_overrun < 0 || settings->quota_slack < 0) {
-        ts_problems_add(problems, TS_E_INVALID, 0, "quota_overrun", "must not be below zero");
+        ts_problems_add(problems, TS_E_INVALID, 0, "quota_overrun", "must not be negative");
     }
     if (settings->quota_window_ms < WINDOW_MIN_MS) {
-        ts_problems_add(problems, TS_E_INVALID, 0, "quota_window_ms", "must be %d or more",
+        ts_problems_add(problems, TS_E_INVALID, 0, "quota_window_ms", "must be at least %d",
                         WINDOW_MIN_MS);
     }
     if (settings->retry_window_ms < WINDOW_MIN_MS) {
-        ts_problems_add(problems, TS_E_INVALID, 0, "retry_window_ms", "must be %d or more",
+        ts_problems_add(problems, TS_E_INVALID, 0, "retry_window_ms", "must be at least %d",
                         WINDOW_MIN_MS);
     }
 }
@@ -146,7 +146,7 @@
     set_default(&settings->drain_ms, DEFAULT_DRAIN_MS);
     set_default(&settings->heartbeat_ms, DEFAULT_HEARTBEAT_MS);
     set_default(&settings->grace_ms, DEFAULT_GRACE_MS);
-    set_default(&settings->retry_window_ms, DEFAULT_WINDOW_MS);
+    set_default(&settings->retry_window_ms, DEFAULT_RETRY_WINDOW_MS);
     set_default(&settings->revoke_ms, DEFAULT_REVOKE_MS);
     set_default(&settings->quota_window_ms, DEFAULT_QUOTA_WINDOW_MS);
     if (settings->warmup_overrun == 0)
--- a/src/config/labels.c
+++ b/src/config/labels.c
@@ -1,4 +1,4 @@
-/** Labels ("key=value") and the terms that match them ("key=value|value"). */
+/** Labels ("key=value") and label terms ("key=value|value"). */
 #include <ctype.h>
 #include <string.h>
 
--- a/src/config/problem.c
+++ b/src/config/problem.c
@@ -1,4 +1,4 @@
-/** Lists of problems, and the search for a path's line in a YAML text. */
+/** Lists of problems, and the lookup of a path's line in a YAML text. */
 #include "tealspar/problem.h"
 
 #include <ctype.h>
@@ -93,25 +93,26 @@
     return yaml_document_get_node(document, node->data.sequence.items.start[index]);
 }
 
-/* Takes one step of the path; advances `*path` past it. */
-static yaml_node_t *take_step(yaml_document_t *document, const yaml_node_t *node, const char **path)
+/* Resolves the next component of the path and advances `*path` past it. */
+static yaml_node_t *resolve_component(yaml_document_t *document, const yaml_node_t *node,
+                                      const char **path)
 {
-    const char *at = *path;
-    if (*at == '[') {
+    const char *component = *path;
+    if (*component == '[') {
         char *end = NULL;
-        long index = strtol(at + 1, &end, 10);
+        long index = strtol(component + 1, &end, 10);
         *path = *end == ']' ? end + 1 : end;
         return find_item(document, node, index);
     }
-    if (*at == '.') {
-        at++;
+    if (*component == '.') {
+        component++;
     }
-    size_t length = strcspn(at, ".[");
-    *path = at + length;
-    return find_field(document, node, at, length);
+    size_t length = strcspn(component, ".[");
+    *path = component + length;
+    return find_field(document, node, component, length);
 }
 
-static unsigned locate_path(yaml_document_t *document, const char *path)
+static unsigned find_path_line(yaml_document_t *document, const char *path)
 {
     const yaml_node_t *node = yaml_document_get_root_node(document);
     if (node == NULL) {
@@ -119,7 +120,7 @@
     }
     size_t line = node->start_mark.line;
     while (*path != '\0') {
-        node = take_step(document, node, &path);
+        node = resolve_component(document, node, &path);
         if (node == NULL) {
             break;
         }
@@ -138,7 +139,7 @@
     }
     yaml_parser_set_input_string(&parser, (const unsigned char *)text, length);
     if (yaml_parser_load(&parser, &document)) {
-        line = locate_path(&document, path);
+        line = find_path_line(&document, path);
         yaml_document_delete(&document);
     }
     yaml_parser_delete(&parser);
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -1,4 +1,4 @@
-/** Loading and checking of a node's settings. */
+/** Loading and validation of node settings. */
 #include "tealspar/settings.h"
 
 #include <string.h>
@@ -14,7 +14,7 @@
 #define DEFAULT_BODY_BYTES_MAX 65536
 #define DEFAULT_CONNECTIONS_MAX 4096
 #define DEFAULT_DRAIN_MS 10000
-#define BODY_BYTES_LIMIT (1024U * 1024U)
+#define BODY_BYTES_MAX_LIMIT (1024U * 1024U)
 
 static const cyaml_schema_value_t text_schema = {
     CYAML_VALUE_STRING(CYAML_FLAG_POINTER, char, 1, TEXT_MAX)};
@@ -51,7 +51,7 @@
 static const cyaml_schema_value_t settings_schema = {
     CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, ts_settings_t, settings_fields)};
 
-/* The text being checked, for the lines of problems. */
+/* The document being validated, needed for the line numbers of problems. */
 typedef struct source {
     const char *text;
     size_t length;
@@ -64,7 +64,7 @@
     if (ts_address_parse(value, &parsed) != TS_OK) {
         ts_problems_add(source->problems, TS_E_INVALID,
                         ts_yaml_find_line(source->text, source->length, path), path,
-                        "'%s' is not an IP number with a port", value);
+                        "'%s' is not an IP address with a port", value);
     }
 }
 
@@ -83,18 +83,18 @@
     if (ts_plugin_find(TS_PLUGIN_POLICY, settings->policy) == NULL) {
         ts_problems_add(source->problems, TS_E_INVALID,
                         ts_yaml_find_line(source->text, source->length, "policy"), "policy",
-                        "no policy is named '%s'", settings->policy);
+                        "unknown policy '%s'", settings->policy);
     }
-    if (settings->body_bytes_max > BODY_BYTES_LIMIT) {
+    if (settings->body_bytes_max > BODY_BYTES_MAX_LIMIT) {
         ts_problems_add(source->problems, TS_E_INVALID,
                         ts_yaml_find_line(source->text, source->length, "body_bytes_max"),
-                        "body_bytes_max", "%u is over %u", settings->body_bytes_max,
-                        BODY_BYTES_LIMIT);
+                        "body_bytes_max", "%u exceeds the maximum of %u", settings->body_bytes_max,
+                        BODY_BYTES_MAX_LIMIT);
     }
     if (settings->cpu != NULL && *settings->cpu >= sysconf(_SC_NPROCESSORS_CONF)) {
         ts_problems_add(source->problems, TS_E_INVALID,
                         ts_yaml_find_line(source->text, source->length, "cpu"), "cpu",
-                        "this machine has no core %d", *settings->cpu);
+                        "this machine has no CPU core %d", *settings->cpu);
     }
 }
 
@@ -121,7 +121,7 @@
 static void apply_defaults(ts_settings_t *settings)
 {
     if (settings->policy == NULL) {
-        settings->policy = strdup("adaptive"); /* freed by libcyaml, hence from malloc */
+        settings->policy = strdup("adaptive"); /* libcyaml frees it with free() */
     }
     if (settings->advertise == NULL) {
         settings->advertise = strdup(settings->peers);
--- a/src/config/tenants.c
+++ b/src/config/tenants.c
@@ -1,4 +1,4 @@
-/** The table of tenants: building, checking, and who holds a key. */
+/** The tenant table: construction, validation and lookup by key. */
 #include "tealspar/tenants.h"
 
 #include <math.h>
@@ -6,17 +6,17 @@
 
 #define PATH_MAX_CHARS 48
 
-/* A key as it was read; the array is sorted out into `holders` at the end. */
-typedef struct held_key {
+/* A key as read; ts_tenants_finish() indexes the keys in `by_key`. */
+typedef struct key_entry {
     ts_key_digest_t digest;
-    guint tenant; /* index of its holder */
-    bool is_readable;
-} held_key_t;
+    guint tenant;  /* index in `list` */
+    bool is_valid; /* not missing or empty */
+} key_entry_t;
 
 struct ts_tenants {
     GPtrArray *list;     /* of ts_tenant_t, owned */
-    GArray *keys;        /* of held_key_t */
-    GHashTable *holders; /* ts_key_digest_t within `keys` -> ts_tenant_t */
+    GArray *keys;        /* of key_entry_t */
+    GHashTable *by_key;  /* digest of an element of `keys` -> ts_tenant_t */
     GHashTable *by_name; /* name -> ts_tenant_t */
 };
 
@@ -27,7 +27,7 @@
     g_free(tenant);
 }
 
-/* A digest is as good as random, so that its first bytes are a hash. */
+/* A SHA-256 digest is uniformly distributed, so its first bytes can be used as a hash. */
 static guint hash_digest(gconstpointer data)
 {
     guint hash = 0;
@@ -44,8 +44,8 @@
 {
     ts_tenants_t *tenants = g_new0(ts_tenants_t, 1);
     tenants->list = g_ptr_array_new_with_free_func(free_tenant);
-    tenants->keys = g_array_new(FALSE, FALSE, sizeof(held_key_t));
-    tenants->holders = g_hash_table_new(hash_digest, is_same_digest);
+    tenants->keys = g_array_new(FALSE, FALSE, sizeof(key_entry_t));
+    tenants->by_key = g_hash_table_new(hash_digest, is_same_digest);
     tenants->by_name = g_hash_table_new(g_str_hash, g_str_equal);
     return tenants;
 }
@@ -55,7 +55,7 @@
     if (tenants == NULL)
         return;
     g_hash_table_destroy(tenants->by_name);
-    g_hash_table_destroy(tenants->holders);
+    g_hash_table_destroy(tenants->by_key);
     g_array_free(tenants->keys, TRUE);
     g_ptr_array_unref(tenants->list);
     g_free(tenants);
@@ -82,19 +82,19 @@
 
 void ts_tenants_add_key(ts_tenants_t *tenants, const char *key)
 {
-    held_key_t held = {.tenant = tenants->list->len - 1};
-    ts_tenant_t *tenant = g_ptr_array_index(tenants->list, held.tenant);
+    key_entry_t entry = {.tenant = tenants->list->len - 1};
+    ts_tenant_t *tenant = g_ptr_array_index(tenants->list, entry.tenant);
     tenant->keys++;
-    held.is_readable = key != NULL && *key != '\0';
-    if (held.is_readable)
-        held.digest = ts_key_digest(key, strlen(key));
-    g_array_append_val(tenants->keys, held);
+    entry.is_valid = key != NULL && *key != '\0';
+    if (entry.is_valid)
+        entry.digest = ts_key_digest(key, strlen(key));
+    g_array_append_val(tenants->keys, entry);
 }
 
-// -- Checks
+// -- Validation
 
-/* A name goes into a header field as it is: visible characters only. */
-static bool is_name_sound(const char *name)
+/* Names are copied into header fields unescaped, so only visible characters are allowed. */
+static bool is_valid_name(const char *name)
 {
     if (name == NULL || *name == '\0')
         return false;
@@ -105,28 +105,28 @@
     return true;
 }
 
-static bool is_limit_sound(double limit)
+static bool is_valid_limit(double limit)
 {
     return isfinite(limit) && limit >= 0;
 }
 
-static const char *find_fault(const ts_tenants_t *tenants, const ts_tenant_t *tenant)
+static const char *find_error(const ts_tenants_t *tenants, const ts_tenant_t *tenant)
 {
-    if (!is_name_sound(tenant->name))
-        return "a tenant needs a name of visible characters";
+    if (!is_valid_name(tenant->name))
+        return "the tenant name must not be empty and must consist of visible characters";
     if (g_hash_table_contains(tenants->by_name, tenant->name))
-        return "the name is another tenant's";
-    if (!is_limit_sound(tenant->rate) || !is_limit_sound(tenant->burst))
-        return "rate and burst must be numbers that are not below zero";
+        return "the tenant name is already used";
+    if (!is_valid_limit(tenant->rate) || !is_valid_limit(tenant->burst))
+        return "rate and burst must be finite and not negative";
     return NULL;
 }
 
-static ts_error_t list_fault(ts_problems_t *problems, guint tenant, const char *field,
-                             const char *fault)
+static ts_error_t add_problem(ts_problems_t *problems, guint tenant, const char *field,
+                              const char *reason)
 {
     char path[PATH_MAX_CHARS];
     g_snprintf(path, sizeof(path), "tenants[%u]%s", tenant, field);
-    ts_problems_add(problems, TS_E_INVALID, 0, path, "%s", fault);
+    ts_problems_add(problems, TS_E_INVALID, 0, path, "%s", reason);
     return TS_E_INVALID;
 }
 
@@ -134,15 +134,17 @@
 {
     ts_error_t result = TS_OK;
     for (guint i = 0; i < tenants->keys->len; i++) {
-        held_key_t *held = &g_array_index(tenants->keys, held_key_t, i);
-        ts_tenant_t *tenant = g_ptr_array_index(tenants->list, held->tenant);
-        const ts_tenant_t *other = g_hash_table_lookup(tenants->holders, &held->digest);
-        if (!held->is_readable)
-            result = list_fault(problems, held->tenant, ".keys", "a key must not be empty");
+        key_entry_t *entry = &g_array_index(tenants->keys, key_entry_t, i);
+        ts_tenant_t *tenant = g_ptr_array_index(tenants->list, entry->tenant);
+        const ts_tenant_t *other = g_hash_table_lookup(tenants->by_key, &entry->digest);
+        if (!entry->is_valid)
+            result = add_problem(problems, entry->tenant, ".keys",
+                                 "a key must be a string that is not empty");
         else if (other != NULL && other != tenant)
-            result = list_fault(problems, held->tenant, ".keys", "a key is another tenant's too");
+            result = add_problem(problems, entry->tenant, ".keys",
+                                 "the key is already used by another tenant");
         else
-            g_hash_table_insert(tenants->holders, &held->digest, tenant);
+            g_hash_table_insert(tenants->by_key, &entry->digest, tenant);
     }
     return result;
 }
@@ -152,17 +154,17 @@
     ts_error_t result = TS_OK;
     for (guint i = 0; i < tenants->list->len; i++) {
         ts_tenant_t *tenant = g_ptr_array_index(tenants->list, i);
-        const char *fault = find_fault(tenants, tenant);
-        if (fault == NULL)
+        const char *reason = find_error(tenants, tenant);
+        if (reason == NULL)
             g_hash_table_insert(tenants->by_name, tenant->name, tenant);
         else
-            result = list_fault(problems, i, "", fault);
+            result = add_problem(problems, i, "", reason);
     }
     ts_error_t keys = index_keys(tenants, problems);
     return result == TS_OK ? keys : result;
 }
 
-// -- Asking
+// -- Lookup
 
 unsigned ts_tenants_count(const ts_tenants_t *tenants)
 {
@@ -177,7 +179,7 @@
 const ts_tenant_t *ts_tenants_find_by_key(const ts_tenants_t *tenants,
                                           const ts_key_digest_t *digest)
 {
-    return g_hash_table_lookup(tenants->holders, digest);
+    return g_hash_table_lookup(tenants->by_key, digest);
 }
 
 const ts_tenant_t *ts_tenants_find(const ts_tenants_t *tenants, const char *name)
--- a/src/config/traffic.c
+++ b/src/config/traffic.c
@@ -1,4 +1,4 @@
-/** The traffic model: building, checking, and the choice of a route. */
+/** Routing configuration: construction, validation and route lookup. */
 #include "tealspar/traffic.h"
 
 #include <string.h>
@@ -102,7 +102,7 @@
     return service;
 }
 
-static bool has_target_twice(const ts_traffic_route_t *route)
+static bool has_duplicate_target(const ts_traffic_route_t *route)
 {
     for (guint i = 1; i < route->targets->len; i++) {
         for (guint j = 0; j < i; j++) {
@@ -125,7 +125,7 @@
     return false;
 }
 
-static const char *find_route_fault(const ts_traffic_route_t *route)
+static const char *find_route_error(const ts_traffic_route_t *route)
 {
     if (route->name == NULL || route->host == NULL || *route->host == '\0') {
         return "a route needs a name and a host";
@@ -137,17 +137,17 @@
     if (route->targets->len == 0) {
         return "the route leads to no service";
     }
-    if (route->kind == TS_TARGET_GATHER && has_target_twice(route)) {
+    if (route->kind == TS_TARGET_GATHER && has_duplicate_target(route)) {
         return "a shard is named twice";
     }
     if (route->kind == TS_TARGET_GATHER && !route->is_repeatable) {
         return "a request over shards must be repeatable";
     }
     if (route->coverage_min < 0 || route->coverage_min > 1) {
-        return "the least coverage must lie between 0 and 1";
+        return "the minimum coverage must be between 0 and 1";
     }
     if (route->regions != NULL && has_unnamed_region(route)) {
-        return "the regions must be a list of names";
+        return "allowed regions must be a list of names";
     }
     if (route->timeout_ms == 0 || route->attempts_max == 0) {
         return "timeout and attempts must be above zero";
@@ -178,11 +178,11 @@
     ts_error_t result = ts_tenants_finish(traffic->tenants, problems);
     for (guint i = 0; i < traffic->routes->len; i++) {
         ts_traffic_route_t *route = g_ptr_array_index(traffic->routes, i);
-        const char *fault = find_route_fault(route);
-        if (fault != NULL) {
+        const char *reason = find_route_error(route);
+        if (reason != NULL) {
             char path[32];
             g_snprintf(path, sizeof(path), "routes[%u]", i);
-            ts_problems_add(problems, TS_E_INVALID, 0, path, "%s", fault);
+            ts_problems_add(problems, TS_E_INVALID, 0, path, "%s", reason);
             result = TS_E_INVALID;
         } else {
             index_route(traffic, route);
@@ -197,7 +197,7 @@
     return result;
 }
 
-/* Lower case, without the port; false if it does not fit. */
+/* Converts to lower case and strips the port. Returns false if the host is too long. */
 static bool normalize_host(const char *host, char *normal)
 {
     size_t length = strcspn(host, ":");
--- a/src/config/yaml_load.c
+++ b/src/config/yaml_load.c
@@ -1,18 +1,18 @@
-/** Loading by libcyaml; its backtrace lines become one typed problem. */
+/** Loads YAML with libcyaml and converts its log output into a single problem. */
 #include "tealspar/yaml_load.h"
 
 #include <stdarg.h>
 #include <stdio.h>
 #include <string.h>
 
-/* What libcyaml reported: a reason, then a backtrace from the innermost place outwards. */
+/* Log output of libcyaml: a reason, then a backtrace from the innermost location outwards. */
 typedef struct load_report {
     GString *reason;
     GString *path;
     unsigned line;
 } load_report_t;
 
-static void prepend_place(load_report_t *report, const char *text)
+static void prepend_location(load_report_t *report, const char *text)
 {
     char field[128];
     unsigned index = 0;
@@ -24,14 +24,14 @@
     } else if (sscanf(text, " in sequence entry '%u'", &index) == 1 ||
                sscanf(text, " in sequence entry: %u", &index) == 1) {
         const char *separator = report->path->len > 0 && report->path->str[0] != '[' ? "." : "";
-        /* libcyaml counts from one */
-        char *place = g_strdup_printf("[%u]%s", index > 0 ? index - 1 : 0, separator);
-        g_string_prepend(report->path, place);
-        g_free(place);
+        /* libcyaml counts entries from one */
+        char *location = g_strdup_printf("[%u]%s", index > 0 ? index - 1 : 0, separator);
+        g_string_prepend(report->path, location);
+        g_free(location);
     }
 }
 
-static void take_line(cyaml_log_t level, void *context, const char *format, va_list arguments)
+static void handle_log_line(cyaml_log_t level, void *context, const char *format, va_list arguments)
 {
     load_report_t *report = context;
     char *text = g_strdup_vprintf(format, arguments);
@@ -41,7 +41,7 @@
         sscanf(line, "line: %u", &report->line);
     }
     if (strstr(text, " in ") != NULL && strstr(text, "(line:") != NULL) {
-        prepend_place(report, strstr(text, " in "));
+        prepend_location(report, strstr(text, " in "));
     } else if (strstr(text, "Backtrace") == NULL) {
         const char *reason = g_str_has_prefix(text, "Load: ") ? text + strlen("Load: ") : text;
         g_string_append_printf(report->reason, "%s%s", report->reason->len > 0 ? "; " : "", reason);
@@ -52,7 +52,7 @@
 static cyaml_config_t make_config(load_report_t *report)
 {
     cyaml_config_t config = {
-        .log_fn = report == NULL ? NULL : take_line,
+        .log_fn = report == NULL ? NULL : handle_log_line,
         .log_ctx = report,
         .mem_fn = cyaml_mem,
         .log_level = CYAML_LOG_ERROR,
--- a/src/kernel/http_client.c
+++ b/src/kernel/http_client.c
@@ -41,8 +41,7 @@
     h2o_socketpool_dispose(&pool->sockets);
     h2o_timeout_dispose(pool->loop, &pool->io_timeout);
     g_free(pool->host);
-    /* The pool itself leaks: it contains the timeout's timer, which closes in the next iteration.
-     */
+    /* The pool is not freed: it contains the timeout's timer, which closes asynchronously. */
 }
 
 ts_error_t ts_http_pool_open(ts_http_pool_t **opened, uv_loop_t *loop, const char *address,
--- a/tests/cli/test_node_replies.c
+++ b/tests/cli/test_node_replies.c
@@ -1,4 +1,4 @@
-/** A node that has just started, asked by another one over the peers' link. */
+/** A node that has just started replies to a subrequest of a peer. */
 #include "../test_support.h"
 
 #include <signal.h>
@@ -12,11 +12,11 @@
 #include "tealspar/wire.h"
 
 #define LOCAL_IP "127.0.0.1"
-#define REPLY_MS 3000
-#define LOOK_MS 10
-#define COUNTER 77U
+#define REPLY_TIMEOUT_MS 3000
+#define POLL_INTERVAL_MS 10
+#define SUBREQUEST_ID 77U
 
-typedef struct asking {
+typedef struct fixture {
     uv_loop_t loop;
     ts_peer_link_t *link;
     ts_wire_identity_t identity;
@@ -24,10 +24,10 @@
     char *directory;
     char *settings;
     GPid node;
-    ts_error_t error; /* of the reply */
+    ts_error_t error; /* from the reply */
     ts_run_t run;
     bool is_answered;
-} asking_t;
+} fixture_t;
 
 static char *new_address(void)
 {
@@ -48,26 +48,26 @@
     return program;
 }
 
-/* Starts a node that knows nobody: its platform does not answer, and it has no seeds. */
-static void start_node(asking_t *asking)
+/* Starts a node without peers: its platform does not respond, and it has no seeds. */
+static void start_node(fixture_t *fixture)
 {
     char *program = find_program();
     char *callers = new_address();
     char *operators = new_address();
     char *platform = new_address();
-    asking->node_address = new_address();
-    asking->directory = g_dir_make_tmp("replies-XXXXXX", NULL);
-    asking->settings = g_build_filename(asking->directory, "node.yaml", NULL);
+    fixture->node_address = new_address();
+    fixture->directory = g_dir_make_tmp("replies-XXXXXX", NULL);
+    fixture->settings = g_build_filename(fixture->directory, "node.yaml", NULL);
     char *text =
         g_strdup_printf("name: started\ncluster: test\nzone: north\ncallers: %s\n"
                         "operators: %s\npeers: %s\nadvertise: %s\nplatform: %s\n",
-                        callers, operators, asking->node_address, asking->node_address, platform);
-    assert_true(g_file_set_contents(asking->settings, text, -1, NULL));
-    char *arguments[] = {program, "node", "-s", asking->settings, NULL};
+                        callers, operators, fixture->node_address, fixture->node_address, platform);
+    assert_true(g_file_set_contents(fixture->settings, text, -1, NULL));
+    char *arguments[] = {program, "node", "-s", fixture->settings, NULL};
     assert_true(g_spawn_async(NULL, arguments, NULL,
                               G_SPAWN_DO_NOT_REAP_CHILD | G_SPAWN_STDOUT_TO_DEV_NULL |
                                   G_SPAWN_STDERR_TO_DEV_NULL,
-                              NULL, NULL, &asking->node, NULL));
+                              NULL, NULL, &fixture->node, NULL));
     g_free(text);
     g_free(platform);
     g_free(operators);
@@ -75,44 +75,44 @@
     g_free(program);
 }
 
-static void stop_node(asking_t *asking)
+static void stop_node(fixture_t *fixture)
 {
-    kill(asking->node, SIGKILL);
-    waitpid(asking->node, NULL, 0);
-    unlink(asking->settings);
-    rmdir(asking->directory);
-    g_free(asking->settings);
-    g_free(asking->directory);
-    g_free(asking->node_address);
+    kill(fixture->node, SIGKILL);
+    waitpid(fixture->node, NULL, 0);
+    unlink(fixture->settings);
+    rmdir(fixture->directory);
+    g_free(fixture->settings);
+    g_free(fixture->directory);
+    g_free(fixture->node_address);
 }
 
-static void take_message(void *context, ts_message_t *message)
+static void on_message(void *context, ts_message_t *message)
 {
-    asking_t *asking = context;
+    fixture_t *fixture = context;
     if (message->type == TS_MESSAGE_SUBREPLIES) {
         const ts_subreply_t *subreply = &((ts_subreply_message_t *)message)->subreply;
-        assert_int_equal(subreply->counter, COUNTER);
-        asking->is_answered = true;
-        asking->error = subreply->error;
-        asking->run = subreply->run;
+        assert_int_equal(subreply->counter, SUBREQUEST_ID);
+        fixture->is_answered = true;
+        fixture->error = subreply->error;
+        fixture->run = subreply->run;
     }
     message->destroy(message);
 }
 
-static void take_frame(void *context, const uint8_t *bytes, size_t length)
+static void on_frame(void *context, const uint8_t *bytes, size_t length)
 {
-    const asking_t *asking = context;
-    assert_int_equal(ts_wire_frame_unpack(&asking->identity, bytes, length, take_message, context),
+    const fixture_t *fixture = context;
+    assert_int_equal(ts_wire_frame_unpack(&fixture->identity, bytes, length, on_message, context),
                      TS_OK);
 }
 
-static void open_asking(asking_t *asking)
+static void open_fixture(fixture_t *fixture)
 {
-    char *here = new_address(); // kept, as nng's threads are
-    uv_loop_init(&asking->loop);
-    asking->identity = (ts_wire_identity_t){"test", "asking", here, 1};
-    asking->link = ts_peer_link_open(&asking->loop, here, take_frame, asking);
-    assert_non_null(asking->link);
+    char *here = new_address(); // not freed, as nng's threads keep running
+    uv_loop_init(&fixture->loop);
+    fixture->identity = (ts_wire_identity_t){"test", "asking", here, 1};
+    fixture->link = ts_peer_link_open(&fixture->loop, here, on_frame, fixture);
+    assert_non_null(fixture->link);
 }
 
 static ts_work_t *make_work(void)
@@ -124,23 +124,23 @@
     work->key = g_strdup("k");
     work->unrepeatable = true;
     work->issued_at_ms = ts_clock_wall_ms();
-    work->deadline_us = ts_clock_now_us() + REPLY_MS * TS_US_PER_MS;
+    work->deadline_us = ts_clock_now_us() + REPLY_TIMEOUT_MS * TS_US_PER_MS;
     return work;
 }
 
-static void ask(asking_t *asking)
+static void send_subrequest(fixture_t *fixture)
 {
     ts_work_t *work = make_work();
     ts_subrequests_message_t *message = ts_subrequests_message(1, work, 1);
-    message->parts[0].counter = COUNTER;
+    message->parts[0].counter = SUBREQUEST_ID;
     message->parts[0].backend = 5;
     ts_message_t *messages[] = {&message->head};
-    ts_wire_frame_t *frame = ts_wire_frame_build(&asking->identity, messages, 1);
+    ts_wire_frame_t *frame = ts_wire_frame_build(&fixture->identity, messages, 1);
     size_t length = ts_wire_frame_size(frame);
     uint8_t *bytes = g_malloc(length);
     ts_wire_frame_pack(frame, bytes);
     ts_wire_frame_free(frame);
-    ts_peer_link_send(asking->link, asking->node_address, bytes, length);
+    ts_peer_link_send(fixture->link, fixture->node_address, bytes, length);
     message->head.destroy(&message->head);
     ts_work_unref(work);
     g_free(bytes);
@@ -151,35 +151,38 @@
     uv_stop(timer->loop);
 }
 
-static void await_reply(asking_t *asking)
+static void await_reply(fixture_t *fixture)
 {
     uv_timer_t timer;
-    uv_timer_init(&asking->loop, &timer);
-    for (unsigned waited = 0; waited < REPLY_MS && !asking->is_answered; waited += LOOK_MS) {
-        uv_timer_start(&timer, stop_loop, LOOK_MS, 0);
-        uv_run(&asking->loop, UV_RUN_DEFAULT);
+    uv_timer_init(&fixture->loop, &timer);
+    for (unsigned waited = 0; waited < REPLY_TIMEOUT_MS && !fixture->is_answered;
+         waited += POLL_INTERVAL_MS) {
+        uv_timer_start(&timer, stop_loop, POLL_INTERVAL_MS, 0);
+        uv_run(&fixture->loop, UV_RUN_DEFAULT);
     }
     uv_close((uv_handle_t *)&timer, NULL);
-    uv_run(&asking->loop, UV_RUN_NOWAIT);
+    uv_run(&fixture->loop, UV_RUN_NOWAIT);
 }
 
-// A request that a node refuses because it owns nothing yet is answered, not left to its deadline
-// (rolling-stop, 1 of 175 dispatches unknown: the reply to a node not heard of yet was dropped).
+// A node that does not own the backend yet must refuse the subrequest, also if the sender is not in
+// its view. The reply to an unknown node used to be dropped, so that 1 of 175 dispatches during a
+// rolling stop ran into its deadline and ended unknown.
 static void test_node_replies_to_one_it_has_not_heard_of(void **state)
 {
-    static asking_t asking; // nng's threads may wake its loop later
-    open_asking(&asking);
-    start_node(&asking);
-    ask(&asking);
-    await_reply(&asking);
-    stop_node(&asking);
-    assert_true(asking.is_answered);
-    assert_int_equal(asking.error, TS_E_NOT_OWNER);
-    assert_int_equal(asking.run, TS_RUN_NOT);
+    static fixture_t fixture; // static, as nng's threads may wake its loop later
+    open_fixture(&fixture);
+    start_node(&fixture);
+    send_subrequest(&fixture);
+    await_reply(&fixture);
+    stop_node(&fixture);
+    assert_true(fixture.is_answered);
+    assert_int_equal(fixture.error, TS_E_NOT_OWNER);
+    assert_int_equal(fixture.run, TS_RUN_NOT);
 }
 
-/* The cores that a thread may run on, as the kernel lists them; NULL: it has ended. */
-static char *read_allowed(GPid pid, const char *thread)
+/* Returns the kernel's list of the cores on which a thread may run; NULL if the thread has ended.
+ */
+static char *read_allowed_cores(GPid pid, const char *thread)
 {
     char *path = g_strdup_printf("/proc/%d/task/%s/status", (int)pid, thread);
     char *text = NULL;
@@ -196,19 +199,19 @@
 
 typedef struct threads {
     unsigned all;
-    unsigned confined; /* to other cores than this process */
+    unsigned confined; /* with another core list than this process */
 } threads_t;
 
 static threads_t count_threads(GPid pid)
 {
     char *own_thread = g_strdup_printf("%d", (int)getpid());
-    char *own = read_allowed(getpid(), own_thread);
+    char *own = read_allowed_cores(getpid(), own_thread);
     char *path = g_strdup_printf("/proc/%d/task", (int)pid);
     GDir *directory = g_dir_open(path, 0, NULL);
     const char *name = NULL;
     threads_t threads = {0};
     while ((name = g_dir_read_name(directory)) != NULL) {
-        char *allowed = read_allowed(pid, name);
+        char *allowed = read_allowed_cores(pid, name);
         threads.all += allowed != NULL;
         threads.confined += allowed != NULL && strcmp(allowed, own) != 0;
         g_free(allowed);
@@ -220,17 +223,17 @@
     return threads;
 }
 
-// No thread of a node waits for one core while others are free (quiet, with one core busy: requests
-// of one node end unknown, others take seconds).
+// The threads of a node must not be pinned to one core. With that core busy, requests of a node on
+// an otherwise idle machine took seconds or ended unknown.
 static void test_threads_may_run_on_all_cores(void **state)
 {
-    static asking_t asking;
-    open_asking(&asking);
-    start_node(&asking);
-    ask(&asking);
-    await_reply(&asking); // the threads of its connections have begun
-    threads_t threads = count_threads(asking.node);
-    stop_node(&asking);
+    static fixture_t fixture;
+    open_fixture(&fixture);
+    start_node(&fixture);
+    send_subrequest(&fixture);
+    await_reply(&fixture); // by then the threads of its connections have started
+    threads_t threads = count_threads(fixture.node);
+    stop_node(&fixture);
     assert_true(threads.all > 1);
     assert_int_equal(threads.confined, 0);
 }
--- a/tests/cli/test_stop_at_start.c
+++ b/tests/cli/test_stop_at_start.c
@@ -1,8 +1,8 @@
 /**
- * A process that is told to stop while it starts ends in order. Beside load a node of a scenario
- * was started anew three seconds before the end and ended by signal 15, its log empty: the signal
- * met a process that did not handle it yet, which looks to whoever watches it as a crash. Here the
- * settings come through a FIFO, so that the process has begun and waits for them.
+ * A process that gets a stop signal during startup must exit normally. Under load, a node restarted
+ * three seconds before the end of a scenario was terminated by signal 15 with an empty log, as it
+ * had not installed its signal handlers yet; a supervisor takes that for a crash. These tests
+ * provide the settings through a FIFO, so that the signal arrives while the process waits for them.
  */
 #include "../test_support.h"
 
@@ -14,15 +14,15 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define WAIT_MS 5000
-#define LOOK_MS 10
+#define EXIT_TIMEOUT_MS 5000
+#define POLL_INTERVAL_MS 10
 
-typedef struct started {
+typedef struct process {
     GPid pid;
-    int settings; /* the writing end */
+    int settings; /* write end of the FIFO */
     char *directory;
     char *fifo;
-} started_t;
+} process_t;
 
 static char *find_program(void)
 {
@@ -38,52 +38,52 @@
     return program;
 }
 
-/* Starts a process of a kind, which reads its settings when this returns. */
-static started_t start(const char *kind)
+/* Starts `tealspar KIND` and returns once it has opened its settings. */
+static process_t start_process(const char *kind)
 {
-    started_t started = {0};
+    process_t process = {0};
     char *program = find_program();
-    started.directory = g_dir_make_tmp("stop-XXXXXX", NULL);
-    started.fifo = g_strdup_printf("%s/settings", started.directory);
-    assert_int_equal(mkfifo(started.fifo, 0600), 0);
-    char *arguments[] = {program, (char *)kind, "-s", started.fifo, NULL};
+    process.directory = g_dir_make_tmp("stop-XXXXXX", NULL);
+    process.fifo = g_strdup_printf("%s/settings", process.directory);
+    assert_int_equal(mkfifo(process.fifo, 0600), 0);
+    char *arguments[] = {program, (char *)kind, "-s", process.fifo, NULL};
     assert_true(g_spawn_async(NULL, arguments, NULL, G_SPAWN_DO_NOT_REAP_CHILD, NULL, NULL,
-                              &started.pid, NULL));
-    started.settings = open(started.fifo, O_WRONLY); // waits for the reader
-    assert_true(started.settings >= 0);
+                              &process.pid, NULL));
+    process.settings = open(process.fifo, O_WRONLY); // blocks until the process opens the FIFO
+    assert_true(process.settings >= 0);
     g_free(program);
-    return started;
+    return process;
 }
 
-/* The process's wait status; it is ended if it does not end. */
-static int await_end(started_t *started)
+/* Returns the wait status of the process; kills it after a timeout. */
+static int await_exit(process_t *process)
 {
     int status = 0;
-    pid_t ended = 0;
-    for (unsigned waited = 0; waited < WAIT_MS && ended == 0; waited += LOOK_MS) {
-        ended = waitpid(started->pid, &status, WNOHANG);
-        g_usleep(LOOK_MS * 1000);
+    pid_t exited = 0;
+    for (unsigned waited = 0; waited < EXIT_TIMEOUT_MS && exited == 0; waited += POLL_INTERVAL_MS) {
+        exited = waitpid(process->pid, &status, WNOHANG);
+        g_usleep(POLL_INTERVAL_MS * 1000);
     }
-    if (ended == 0) {
-        kill(started->pid, SIGKILL);
-        waitpid(started->pid, &status, 0);
+    if (exited == 0) {
+        kill(process->pid, SIGKILL);
+        waitpid(process->pid, &status, 0);
     }
-    close(started->settings);
-    g_unlink(started->fifo);
-    g_rmdir(started->directory);
-    g_free(started->fifo);
-    g_free(started->directory);
+    close(process->settings);
+    g_unlink(process->fifo);
+    g_rmdir(process->directory);
+    g_free(process->fifo);
+    g_free(process->directory);
     return status;
 }
 
 static void check_stop(const char *kind, int number)
 {
-    started_t started = start(kind);
-    kill(started.pid, number);
-    int status = await_end(&started);
+    process_t process = start_process(kind);
+    kill(process.pid, number);
+    int status = await_exit(&process);
     if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
-        fail_msg("%s told by signal %d while it starts: exit code %d, signal %d", kind, number,
-                 WIFEXITED(status) ? WEXITSTATUS(status) : -1,
+        fail_msg("%s got signal %d during startup: exit code %d, terminated by signal %d", kind,
+                 number, WIFEXITED(status) ? WEXITSTATUS(status) : -1,
                  WIFSIGNALED(status) ? WTERMSIG(status) : 0);
 }
 
@@ -99,15 +99,15 @@
     check_stop("node", SIGINT);
 }
 
-/* Settings that are to be read again are being read for the first time: nothing ends. */
+/* SIGHUP (reload of the settings) must not terminate a process that is reading its settings. */
 static void test_settings_change_while_a_gateway_starts(void **state)
 {
-    started_t started = start("gateway");
-    kill(started.pid, SIGHUP);
-    g_usleep(LOOK_MS * 1000);
-    assert_int_equal(waitpid(started.pid, NULL, WNOHANG), 0);
-    kill(started.pid, SIGTERM);
-    int status = await_end(&started);
+    process_t process = start_process("gateway");
+    kill(process.pid, SIGHUP);
+    g_usleep(POLL_INTERVAL_MS * 1000);
+    assert_int_equal(waitpid(process.pid, NULL, WNOHANG), 0);
+    kill(process.pid, SIGTERM);
+    int status = await_exit(&process);
     assert_true(WIFEXITED(status));
     assert_int_equal(WEXITSTATUS(status), 0);
 }
--- a/tests/config/test_declarations.c
+++ b/tests/config/test_declarations.c
@@ -1,4 +1,4 @@
-/** Declarations: what is accepted, what is refused, and with which place and reason. */
+/** Loading of declarations: valid documents, and the location and reason of each problem. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -18,7 +18,7 @@
     ts_declarations_unref(declarations);
 }
 
-/* One change to the good document, the path that must be named and a word of the reason. */
+/* An edit of the valid document, the expected path and a part of the expected reason. */
 typedef struct refusal {
     const char *from;
     const char *to;
@@ -30,26 +30,26 @@
     {"version: 3", "version: 0", "version", "begin at 1"},
     {"version: 3", "version: 3\ncolour: red", "(document)", "Unexpected key"},
     {"slots: 2", "slots: many", "backends[0].slots", "Invalid"},
-    {"'127.0.0.1:1001'", "'host:1001'", "backends[0].address", "IP number"},
-    {"'127.0.0.1:1001'", "'127.0.0.1'", "backends[0].address", "IP number"},
-    {"127.0.0.1:1002", "127.0.0.1:1001", "backends[1].address", "stands twice"},
-    {"name: b2", "name: b1", "backends[1].name", "stands twice"},
+    {"'127.0.0.1:1001'", "'host:1001'", "backends[0].address", "IP address"},
+    {"'127.0.0.1:1001'", "'127.0.0.1'", "backends[0].address", "IP address"},
+    {"127.0.0.1:1002", "127.0.0.1:1001", "backends[1].address", "duplicate address"},
+    {"name: b2", "name: b1", "backends[1].name", "duplicate name"},
     {"zone: south, shards: [two/0]", "zone: west, shards: [two/0]", "backends[3].zone", "no zone"},
     {"[two/0]", "[two/7]", "backends[3].shards[0]", "no group declares"},
     {"[service=a|b]", "[service=a, service=b]", "selectors[0].groups[1]", "contradict"},
     {"[service=a|b]", "[service]", "selectors[0].groups[0]", "not of the form"},
     {"[service=a|b]", "[service=c]", "selectors[0].groups", "no group matches"},
     {"[service=a|b],", "[service=a|b], backends: [stage=new],", "selectors[0].backends",
-     "no back end"},
+     "no backend"},
     {"hedge_percent: 5", "hedge_percent: 101", "selectors[0].hedge_percent", "not between"},
     {"deadline_ms: 100, least_coverage_percent: 50", "deadline_ms: 0, least_coverage_percent: 50",
      "selectors[0].deadline_ms", "not between"},
     {"unrepeatable: true", "unrepeatable: true, hedge_percent: 1", "selectors[1].hedge_percent",
-     "contradicts hedges"},
+     "must not be hedged"},
     {"unrepeatable: true", "unrepeatable: true, retry_percent: 1", "selectors[1].retry_percent",
-     "contradicts retries"},
+     "must not be retried"},
     {"route: key, ", "", "selectors[1].route", "routed by key"},
-    {"kind: keyed", "kind: all", "selectors[1].kind", "stands twice"},
+    {"kind: keyed", "kind: all", "selectors[1].kind", "duplicate name"},
     {"wait: gain", "wait: never", "selectors[0].wait", "Invalid"},
     {"wait: gain, deadline_ms: 100, least_coverage_percent: 50",
      "wait: coverage, deadline_ms: 100, least_coverage_percent: 0", "selectors[0].wait",
@@ -63,7 +63,8 @@
         char *text = test_replace(test_declarations_text, refusals[i].from, refusals[i].to);
         char *lines = test_load_refused(text);
         if (strstr(lines, refusals[i].path) == NULL || strstr(lines, refusals[i].reason) == NULL) {
-            fail_msg("'%s' to '%s' gave: %s", refusals[i].from, refusals[i].to, lines);
+            fail_msg("replacing '%s' by '%s' reported: %s", refusals[i].from, refusals[i].to,
+                     lines);
         }
         g_free(lines);
         g_free(text);
--- a/tests/config/test_gateway_settings.c
+++ b/tests/config/test_gateway_settings.c
@@ -1,4 +1,4 @@
-/** A gateway's settings: what is refused, what is filled in, where it is reached. */
+/** Gateway settings: defaults, invalid values, peer address and disabled mechanisms. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -10,10 +10,10 @@
     "name: n1\nzone: z1\ndialect: platform\ncallers: 127.0.0.1:1\nready: 127.0.0.1:2\n"            \
     "store: 127.0.0.1:3\n"
 
-static ts_gateway_settings_t *load(const char *more)
+static ts_gateway_settings_t *load(const char *optional)
 {
     ts_problems_t problems;
-    char *text = g_strconcat(REQUIRED, more, NULL);
+    char *text = g_strconcat(REQUIRED, optional, NULL);
     ts_problems_init(&problems);
     ts_gateway_settings_t *settings = ts_gateway_settings_load(text, strlen(text), &problems);
     assert_int_equal(settings == NULL, ts_problems_count(&problems) > 0);
--- a/tests/config/test_tenant_table.c
+++ b/tests/config/test_tenant_table.c
@@ -1,4 +1,4 @@
-/** The table of tenants: who holds a key, and what contradicts itself. */
+/** The tenant table: lookup by key and validation. */
 #include "../test_support.h"
 
 #include <math.h>
@@ -8,6 +8,7 @@
 
 #define SECRET "k3y-that-must-not-be-shown"
 
+/* Finishes the table and returns the formatted problems (g_free). */
 static char *finish(ts_tenants_t *tenants, ts_error_t expected)
 {
     ts_problems_t problems;
@@ -18,7 +19,7 @@
     return text;
 }
 
-static const ts_tenant_t *holder(const ts_tenants_t *tenants, const char *key)
+static const ts_tenant_t *find_by_key(const ts_tenants_t *tenants, const char *key)
 {
     ts_key_digest_t digest = ts_key_digest(key, strlen(key));
     return ts_tenants_find_by_key(tenants, &digest);
@@ -30,18 +31,18 @@
     ts_tenants_add(tenants, "one");
     ts_tenants_add_key(tenants, "a");
     ts_tenants_add_key(tenants, "b");
-    ts_tenants_add_key(tenants, "b"); // twice by the same tenant: harmless
+    ts_tenants_add_key(tenants, "b"); // a duplicate key of the same tenant is allowed
     ts_tenants_add(tenants, "two")->priority = 2;
     ts_tenants_add_key(tenants, "c");
     ts_tenants_add(tenants, "keyless");
     g_free(finish(tenants, TS_OK));
     assert_int_equal(ts_tenants_count(tenants), 3);
-    assert_string_equal(holder(tenants, "a")->name, "one");
-    assert_string_equal(holder(tenants, "b")->name, "one");
-    assert_int_equal(holder(tenants, "c")->priority, 2);
-    assert_null(holder(tenants, "d"));
-    assert_null(holder(tenants, ""));
-    assert_null(holder(tenants, "A"));
+    assert_string_equal(find_by_key(tenants, "a")->name, "one");
+    assert_string_equal(find_by_key(tenants, "b")->name, "one");
+    assert_int_equal(find_by_key(tenants, "c")->priority, 2);
+    assert_null(find_by_key(tenants, "d"));
+    assert_null(find_by_key(tenants, ""));
+    assert_null(find_by_key(tenants, "A"));
     assert_non_null(ts_tenants_find(tenants, "keyless"));
     assert_null(ts_tenants_find(tenants, "three"));
     ts_tenants_free(tenants);
@@ -49,13 +50,13 @@
 
 static void test_digest_is_sha256(void **state)
 {
-    // FIPS 180-4, the example of "abc".
+    // The test vector for "abc" of FIPS 180-4.
     static const uint8_t expected[] = {0xba, 0x78, 0x16, 0xbf, 0x8f, 0x01, 0xcf, 0xea};
     ts_key_digest_t digest = ts_key_digest("abc", 3);
     assert_memory_equal(digest.bytes, expected, sizeof(expected));
 }
 
-/* Adds a second tenant that contradicts the first, and shows where that is said. */
+/* Adds an invalid second tenant and checks the reported path, and that no key is disclosed. */
 static void check_refused(const char *name, const char *key, double rate, double burst,
                           const char *path)
 {
--- a/tests/test_support.c
+++ b/tests/test_support.c
@@ -1,4 +1,4 @@
-/** Small helpers that several tests share. */
+/** Helpers shared by several tests. */
 #include "test_support.h"
 
 #include <string.h>
--- a/tests/test_support.h
+++ b/tests/test_support.h
@@ -1,4 +1,4 @@
-/** Small helpers that several tests share. */
+/** Helpers shared by several tests. */
 #ifndef TEALSPAR_TEST_SUPPORT_H
 #define TEALSPAR_TEST_SUPPORT_H
 
@@ -13,14 +13,15 @@
 
 #include "tealspar/declarations.h"
 
-/** Declarations of two zones, two groups (labels service=a, service=b), four back ends. */
+/** Valid declarations: two zones, two groups (labels service=a and service=b), four backends. */
 extern const char *const test_declarations_text;
 
-/** Loads a text that must pass. */
+/** Loads a valid document. */
 ts_declarations_t *test_load(const char *text);
-/** Loads a text that must be refused; returns all problems as text (g_free). */
+/** Loads an invalid document and returns the formatted problems (g_free). */
 char *test_load_refused(const char *text);
-/** The text with every `from` replaced by `to`; g_free. */
+/** Replaces every `from` in the text by `to`; `from` must occur. The result is freed with g_free.
+ */
 char *test_replace(const char *text, const char *from, const char *to);
 
 #endif
