--- a/include/tealspar/counters.h
+++ b/include/tealspar/counters.h
@@ -141,23 +141,25 @@
     X(STORE_CALLS, counter, "store_calls_total", "calls to the configuration service")             \
     X(STORE_FAILURES, counter, "store_failures_total",                                             \
       "failed calls to the configuration service")                                                 \
-    X(STORE_LISTS, counter, "store_lists_total", "complete listings of its entries")               \
+    X(STORE_LISTS, counter, "store_lists_total", "complete listings of the configuration service") \
     X(STORE_HISTORY_GONE, counter, "store_history_gone_total",                                     \
-      "watches that failed because its history no longer has the revision")                        \
+      "waits for changes after a revision that the configuration service no longer has")           \
     X(STORE_EPOCH, gauge, "store_epoch",                                                           \
       "epoch of the configuration service, as known to this node")                                 \
-    X(STORE_RESTORES, counter, "store_restores_total", "times it was restored from an older copy") \
+    X(STORE_RESTORES, counter, "store_restores_total",                                             \
+      "times the configuration service was restored from an older copy")                           \
     X(STORE_FORMER_ENTRIES, gauge, "store_former_entries",                                         \
-      "entries of an earlier epoch in effect until they are written again")                        \
-    X(STORE_REVISION, gauge, "store_revision", "last revision whose changes were applied")         \
+      "entries of an earlier epoch, in effect until they are written again")                       \
+    X(STORE_REVISION, gauge, "store_revision",                                                     \
+      "last applied revision of the configuration service")                                        \
     X(CONFIG_VERSION_LISTED, gauge, "config_version_listed",                                       \
-      "configuration version last listed by the service; may be older than the one in effect")     \
+      "version last listed by the configuration service; may be older than the one in effect")     \
     X(CALLER_CONNECTIONS, gauge, "caller_connections", "open connections from callers")            \
     X(PARTS_LOST, counter, "parts_lost_total", "parts that no searcher answered")                  \
     X(PARTS_EXCLUDED, counter, "parts_excluded_total",                                             \
       "parts excluded because no backend is in an allowed region")                                 \
     X(CONFIG_CONFIRMED_AGE, gauge, "config_confirmed_age_milliseconds",                            \
-      "time since the configuration service confirmed this node's state")                          \
+      "time since the configuration service confirmed the state of this node")                     \
     X(INSTANCES_LISTED, gauge, "instances_listed", "backends listed by discovery")                 \
     X(LOG_LINES_DROPPED, counter, "log_lines_dropped_total",                                       \
       "log lines dropped because the buffer was full")                                             \
--- a/include/tealspar/declarations-t.h
+++ b/include/tealspar/declarations-t.h
@@ -1,6 +1,7 @@
 /**
- * Types of the declarations, the configuration document of a node cluster. Immutable once loaded
- * and reference-counted; a query holds a reference to the version with which it started.
+ * Types of the declarations, the configuration document of a cluster, which operators keep in
+ * version control. Immutable once loaded and reference-counted; a query keeps a reference to the
+ * version with which it started.
  */
 #ifndef TEALSPAR_DECLARATIONS_T_H
 #define TEALSPAR_DECLARATIONS_T_H
@@ -14,8 +15,7 @@
 typedef enum ts_wait_rule {
     TS_WAIT_DEADLINE, /**< wait for every shard until the deadline */
     TS_WAIT_COVERAGE, /**< stop as soon as the minimum coverage is reached */
-    TS_WAIT_GAIN /**< past the minimum coverage, stop when the expected gain of waiting is too low
-                  */
+    TS_WAIT_GAIN      /**< as above, but go on while the expected gain is high enough */
 } ts_wait_rule_t;
 
 /** Which of the reachable shards a query is sent to. */
@@ -50,7 +50,7 @@
     char *zone;
     char **labels;
     unsigned labels_count;
-    char **shards; /**< names of the shards it holds */
+    char **shards; /**< names of its shards */
     unsigned shards_count;
     uint32_t slots;       /**< maximum concurrent requests */
     uint32_t connections; /**< maximum connections from all nodes */
--- a/include/tealspar/gateway_settings.h
+++ b/include/tealspar/gateway_settings.h
@@ -12,12 +12,13 @@
     char *region;
 } ts_zone_setting_t;
 
-/** How slow requests and parts are handled; the last two are baselines for comparison. */
+/**
+ * How slow requests and parts are handled. The last two are baselines for comparison. The first two
+ * send partial responses at the target latency.
+ */
 typedef enum ts_straggler_policy {
-    TS_STRAGGLER_ADAPTIVE,    /**< suspicion, hedges as late as the target latency allows, partial
-                                 responses at it */
-    TS_STRAGGLER_FIXED_HEDGE, /**< hedges after a fixed part of the target latency, partial
-                                 responses at it */
+    TS_STRAGGLER_ADAPTIVE,    /**< suspicion, hedges as late as the target allows */
+    TS_STRAGGLER_FIXED_HEDGE, /**< hedges after a fixed part of the target */
     TS_STRAGGLER_NAIVE        /**< no hedges, no partial responses before the timeout */
 } ts_straggler_policy_t;
 
@@ -48,8 +49,7 @@
     double quota_overrun;     /**< tolerated excess per window, as a fraction of the limit, */
     double quota_slack;       /**< plus this many requests */
     uint32_t revoke_ms;       /**< how long keys are accepted without confirmation */
-    bool revoke_fail_closed;  /**< after `revoke_ms`, refuse requests with keys instead of accepting
-                                 them */
+    bool revoke_fail_closed;  /**< whether requests with keys are refused after `revoke_ms` */
     ts_straggler_policy_t policy;
     uint32_t without; /**< disabled mechanisms; bits from tealspar/mechanism.h */
     ts_log_format_t log_format;
--- a/include/tealspar/http_client.h
+++ b/include/tealspar/http_client.h
@@ -48,8 +48,7 @@
 /** Sends a request. The callback is never called before this function returns. */
 ts_http_call_t *ts_http_call(ts_http_pool_t *pool, const ts_http_client_request_t *request,
                              ts_http_done_t done, void *context);
-/** Cancels a call without its callback and closes the connection, so that the peer can detect it.
- */
+/** Cancels a call without its callback. Closes the connection, which notifies the server. */
 void ts_http_cancel(ts_http_call_t *call);
 
 #endif
--- a/include/tealspar/http_server.h
+++ b/include/tealspar/http_server.h
@@ -24,8 +24,7 @@
     size_t body_length;
 } ts_http_request_t;
 
-/** Called once per request. Requires exactly one ts_http_reply() unless the request is abandoned.
- */
+/** Called once per request. Must cause exactly one ts_http_reply() unless abandoned. */
 typedef void (*ts_http_handler_t)(void *context, ts_http_exchange_t *exchange,
                                   const ts_http_request_t *request);
 /** Called when the caller disconnects before the reply; the exchange is invalid afterwards. */
--- a/include/tealspar/messages.h
+++ b/include/tealspar/messages.h
@@ -15,8 +15,7 @@
 #include "tealspar/task.h"
 #include "tealspar/view.h"
 
-/** Execution state of a subrequest; determines whether a refusal may be reported as not executed.
- */
+/** Whether a subrequest was executed; determines what a refusal may guarantee. */
 typedef enum ts_run {
     TS_RUN_NOT,     /**< not executed */
     TS_RUN_DONE,    /**< executed to completion */
@@ -44,10 +43,9 @@
 
 /** A subrequest for one shard to one backend. */
 typedef struct ts_part {
-    uint64_t
-        counter; /**< subrequest id: incarnation hash in the high 32 bits, then a sequence number */
-    uint64_t backend;         /**< ts_backend_t.id */
-    uint64_t shard;           /**< ts_shard_t.id */
+    uint64_t counter; /**< subrequest id: incarnation hash (high half) and sequence number */
+    uint64_t backend; /**< ts_backend_t.id */
+    uint64_t shard;   /**< ts_shard_t.id */
     uint64_t wanted_snapshot; /**< preferred index version; 0: any */
 } ts_part_t;
 
--- a/include/tealspar/node.h
+++ b/include/tealspar/node.h
@@ -25,8 +25,7 @@
     const char *platform;        /**< name of the platform plug-in */
     void *environment;           /**< used by the simulator */
     const ts_settings_t *settings;
-    uint64_t incarnation; /**< wall-clock time of the start in ms, so that it increases with each
-                             start */
+    uint64_t incarnation; /**< start time, wall clock in ms; increases with every start */
     bool stopping;
 } ts_node_t;
 
--- a/include/tealspar/plugin.h
+++ b/include/tealspar/plugin.h
@@ -12,8 +12,7 @@
     TS_PLUGIN_TASK,            /**< a task of a node; `ops` is a ts_task_ops_t */
     TS_PLUGIN_POLICY,          /**< a routing policy; `ops` is a ts_policy_t */
     TS_PLUGIN_CALLER_API,      /**< an API for callers; `ops` is a ts_caller_api_t */
-    TS_PLUGIN_SEARCHER_CLIENT, /**< a protocol client for searchers; `ops` is a ts_searcher_client_t
-                                */
+    TS_PLUGIN_SEARCHER_CLIENT, /**< a client for searchers; `ops` is a ts_searcher_client_t */
     TS_PLUGIN_PLATFORM,        /**< a client for the platform; `ops` is a ts_platform_t */
     TS_PLUGIN_DIALECT          /**< the protocol dialect of a deployment; `ops` is a ts_dialect_t */
 } ts_plugin_kind_t;
--- a/include/tealspar/task.h
+++ b/include/tealspar/task.h
@@ -13,7 +13,7 @@
 /** Message types of a node; each comment names the message struct. */
 typedef enum ts_message_type {
     TS_MESSAGE_SUBREQUESTS,  /**< ts_subrequests_message_t: to the broker */
-    TS_MESSAGE_SUBREPLIES,   /**< ts_subreplies_message_t: to the front */
+    TS_MESSAGE_SUBREPLIES,   /**< ts_subreply_message_t: to the front */
     TS_MESSAGE_CANCEL,       /**< ts_cancel_message_t: to the broker */
     TS_MESSAGE_GOSSIP,       /**< ts_gossip_message_t: to membership */
     TS_MESSAGE_PEER_LOST,    /**< ts_peer_message_t: the connection to a peer was closed */
--- a/src/kernel/http_fetch.c
+++ b/src/kernel/http_fetch.c
@@ -28,8 +28,7 @@
 ts_http_response_t ts_http_fetch(const char *address, const char *method, const char *path,
                                  const char *body, unsigned timeout_ms)
 {
-    /* h2o never closes its timers in the loop, so the loop is shared by all calls and never freed.
-     */
+    /* Never freed, and shared by all calls, as h2o does not close its timers in the loop. */
     static uv_loop_t *loop;
     if (loop == NULL) {
         loop = g_new0(uv_loop_t, 1);
--- a/tests/cli/test_node_replies.c
+++ b/tests/cli/test_node_replies.c
@@ -180,8 +180,7 @@
     assert_int_equal(fixture.run, TS_RUN_NOT);
 }
 
-/* Returns the kernel's list of the cores on which a thread may run; NULL if the thread has ended.
- */
+/* Returns the list of cores on which a thread may run; NULL if the thread has ended. */
 static char *read_allowed_cores(GPid pid, const char *thread)
 {
     char *path = g_strdup_printf("/proc/%d/task/%s/status", (int)pid, thread);
--- a/tests/test_support.h
+++ b/tests/test_support.h
@@ -20,8 +20,7 @@
 ts_declarations_t *test_load(const char *text);
 /** Loads an invalid document and returns the formatted problems (g_free). */
 char *test_load_refused(const char *text);
-/** Replaces every `from` in the text by `to`; `from` must occur. The result is freed with g_free.
- */
+/** Replaces every `from` in the text, which must contain it, by `to`; g_free. */
 char *test_replace(const char *text, const char *from, const char *to);
 
 #endif
