--- a/include/tealspar/upstream.h
+++ b/include/tealspar/upstream.h
@@ -15,7 +15,7 @@
 #include "tealspar/messages.h"
 #include "tealspar/outgoing.h"
 #include "tealspar/registry.h"
-#include "tealspar/wake.h"
+#include "tealspar/stall_detector.h"
 
 typedef struct ts_upstream ts_upstream_t;
 typedef struct ts_exchange ts_exchange_t;
@@ -45,7 +45,7 @@
  * Sets the detector of process stalls. It is run before a very late response is evaluated, so
  * that a stall of this process does not count against the instance.
  */
-void ts_upstream_set_stall_detector(ts_upstream_t *upstream, ts_wake_t *detector);
+void ts_upstream_set_stall_detector(ts_upstream_t *upstream, ts_stall_detector_t *detector);
 /** Marks the times of all exchanges as invalid after a process stall, as they include the stall. */
 void ts_upstream_invalidate_times(ts_upstream_t *upstream);
 /** A send whose connection failed after the request was sent and before a complete response. */
--- a/src/front/caller_http.c
+++ b/src/front/caller_http.c
@@ -113,7 +113,7 @@
     ts_query_t *query = ts_front_submit(front_instance, request, on_answer, caller_request);
     if (query != NULL) {
         caller_request->query = query;
-        ts_http_watch(exchange, on_disconnect, caller_request);
+        ts_http_set_abandoned_callback(exchange, on_disconnect, caller_request);
     }
 }
 
@@ -153,7 +153,7 @@
 
 static void leave_api(void)
 {
-    ts_http_server_leave(server);
+    ts_http_server_disable_keepalive(server);
 }
 
 static void drain_api(void)
--- a/src/upstream/upstream.c
+++ b/src/upstream/upstream.c
@@ -72,7 +72,7 @@
     void *idle_limit_ctx;
     ts_upstream_broken_send_cb_t broken_send; /* may be NULL */
     void *broken_send_ctx;
-    ts_wake_t *stall_detector; /* may be NULL */
+    ts_stall_detector_t *stall_detector; /* may be NULL */
 };
 
 static void close_connection(ts_connection_t *connection);
@@ -134,8 +134,8 @@
     ts_time_us_t now_us = ts_clock_now_us();
     result->span_us = exchange->sent_us == 0 ? 0 : now_us - exchange->sent_us;
     /* If a stall is found, the times become invalid and do not count against the instance. */
-    if (result->span_us > TS_WAKE_LEAST_US && exchange->upstream->stall_detector != NULL)
-        ts_wake_look(exchange->upstream->stall_detector);
+    if (result->span_us > TS_STALL_MIN_US && exchange->upstream->stall_detector != NULL)
+        ts_stall_detector_check(exchange->upstream->stall_detector);
     result->has_invalid_times = exchange->has_invalid_times;
     if (result->answer != NULL)
         update_reported_load(exchange, result->answer, now_us);
@@ -681,7 +681,7 @@
     upstream->broken_send_ctx = ctx;
 }
 
-void ts_upstream_set_stall_detector(ts_upstream_t *upstream, ts_wake_t *detector)
+void ts_upstream_set_stall_detector(ts_upstream_t *upstream, ts_stall_detector_t *detector)
 {
     upstream->stall_detector = detector;
 }
