--- a/lab/faults.c
+++ b/lab/faults.c
@@ -10,20 +10,20 @@
 
 #include "tealspar/http_client.h"
 
-#define COLD_STARTING_MS 1000
+#define STARTING_MS 1000
 #define MS_PER_S_DOUBLE 1000.0
 #define CONTROL_CONNECTIONS 4
 
 /* One fault with its timers. */
-typedef struct armed_fault {
+typedef struct scheduled_fault {
     lab_fleet_t *fleet;
     lab_fault_log_t *log;
     const lab_fault_t *fault;
     uv_timer_t begin;
     uv_timer_t middle; /* cold start: from starting to slow */
     uv_timer_t end;
-    unsigned rolled; /* snapshot roll: back ends done */
-} armed_fault_t;
+    unsigned rolled_backends; /* snapshot roll: back ends done */
+} scheduled_fault_t;
 
 /* ---- talking to the stand-ins ---- */
 
@@ -31,7 +31,7 @@
     ts_http_pool_t *pool;
 } control_call_t;
 
-static void forget_call(void *context, const ts_http_result_t *result)
+static void finish_control_call(void *context, const ts_http_result_t *result)
 {
     control_call_t *call = context;
     ts_http_pool_close(call->pool);
@@ -43,7 +43,7 @@
     control_call_t *call = g_new0(control_call_t, 1);
     ts_http_send_t send = {"POST", "/control", "connection: close\r\n", body, strlen(body)};
     if (ts_http_pool_open(&call->pool, fleet->loop, address, CONTROL_CONNECTIONS) == TS_OK) {
-        ts_http_call(call->pool, &send, forget_call, call);
+        ts_http_call(call->pool, &send, finish_control_call, call);
     }
 }
 
@@ -57,102 +57,102 @@
     return NULL;
 }
 
-static void control_backend(const armed_fault_t *armed, const char *format, ...)
+static void control_backend(const scheduled_fault_t *scheduled, const char *format, ...)
     G_GNUC_PRINTF(2, 3);
 
-static void control_backend(const armed_fault_t *armed, const char *format, ...)
+static void control_backend(const scheduled_fault_t *scheduled, const char *format, ...)
 {
     va_list arguments;
     va_start(arguments, format);
     char *body = g_strdup_vprintf(format, arguments);
     va_end(arguments);
-    const ts_backend_t *backend = find_backend(armed->fleet, armed->fault->target);
-    send_control(armed->fleet, backend->address, body);
+    const ts_backend_t *backend = find_backend(scheduled->fleet, scheduled->fault->target);
+    send_control(scheduled->fleet, backend->address, body);
     g_free(body);
 }
 
-static void control_proxy(const armed_fault_t *armed, const char *mode)
+static void control_proxy(const scheduled_fault_t *scheduled, const char *mode)
 {
     char *body =
-        g_strdup_printf("{\"zone\": \"%s\", \"mode\": \"%s\"}", armed->fault->target, mode);
-    send_control(armed->fleet, armed->fleet->proxy_control, body);
+        g_strdup_printf("{\"zone\": \"%s\", \"mode\": \"%s\"}", scheduled->fault->target, mode);
+    send_control(scheduled->fleet, scheduled->fleet->proxy_control, body);
     g_free(body);
 }
 
 /* ---- nodes ---- */
 
-static void signal_node(const armed_fault_t *armed, int number)
+static void signal_node(const scheduled_fault_t *scheduled, int number)
 {
-    lab_node_t *node = lab_fleet_node(armed->fleet, armed->fault->target);
+    lab_node_t *node = lab_fleet_node(scheduled->fleet, scheduled->fault->target);
     if (node->process.is_running) {
         uv_process_kill(&node->process.handle, number);
     }
 }
 
-static void note_stop(const armed_fault_t *armed)
+static void record_stop(const scheduled_fault_t *scheduled)
 {
     int64_t now_ms = ts_clock_wall_ms();
-    g_array_append_val(armed->log->stops, now_ms);
+    g_array_append_val(scheduled->log->stops, now_ms);
 }
 
-static void note_disturbance(const armed_fault_t *armed)
+static void record_disturbance(const scheduled_fault_t *scheduled)
 {
     int64_t now_ms = ts_clock_wall_ms();
     lab_disturbance_t disturbance = {now_ms,
-                                     now_ms + (int64_t)(armed->fault->for_s * MS_PER_S_DOUBLE)};
-    g_array_append_val(armed->log->disturbances, disturbance);
+                                     now_ms + (int64_t)(scheduled->fault->for_s * MS_PER_S_DOUBLE)};
+    g_array_append_val(scheduled->log->disturbances, disturbance);
 }
 
-static void kill_target(const armed_fault_t *armed)
+static void kill_target(const scheduled_fault_t *scheduled)
 {
-    lab_node_t *node = lab_fleet_node(armed->fleet, armed->fault->target);
+    lab_node_t *node = lab_fleet_node(scheduled->fleet, scheduled->fault->target);
     if (node == NULL) {
-        control_backend(armed, "{\"state\": \"dead\"}");
+        control_backend(scheduled, "{\"state\": \"dead\"}");
         return;
     }
     node->process.is_expected_to_end = true;
-    note_disturbance(armed);
-    signal_node(armed, SIGKILL);
+    record_disturbance(scheduled);
+    signal_node(scheduled, SIGKILL);
 }
 
-static void start_target(const armed_fault_t *armed)
+static void start_target(const scheduled_fault_t *scheduled)
 {
-    lab_node_t *node = lab_fleet_node(armed->fleet, armed->fault->target);
+    lab_node_t *node = lab_fleet_node(scheduled->fleet, scheduled->fault->target);
     if (node == NULL) {
-        control_backend(armed, "{\"state\": \"serving\"}");
+        control_backend(scheduled, "{\"state\": \"serving\"}");
     } else if (!node->process.is_running) {
-        lab_fleet_start_node(armed->fleet, node);
+        lab_fleet_start_node(scheduled->fleet, node);
     }
 }
 
 /* ---- configuration ---- */
 
-static void publish(const armed_fault_t *armed, char *text)
+static void publish(const scheduled_fault_t *scheduled, char *text)
 {
     lab_published_t published = {lab_config_version(text), ts_clock_now_us()};
-    lab_fleet_publish(armed->fleet, text);
-    g_array_append_val(armed->log->published, published);
+    lab_fleet_publish(scheduled->fleet, text);
+    g_array_append_val(scheduled->log->published, published);
 }
 
-static void publish_change(const armed_fault_t *armed)
+static void publish_change(const scheduled_fault_t *scheduled)
 {
-    uint64_t version = lab_config_version(armed->fleet->config_text) + 1;
-    publish(armed, lab_config_with_version(armed->fleet->config_text, version));
+    uint64_t version = lab_config_version(scheduled->fleet->config_text) + 1;
+    publish(scheduled, lab_config_with_version(scheduled->fleet->config_text, version));
 }
 
-static void show_text(const lab_fleet_t *fleet, const char *text)
+static void write_config_file(const lab_fleet_t *fleet, const char *text)
 {
     g_file_set_contents(fleet->config_path, text, -1, NULL);
 }
 
 /* A higher version that every node must refuse: a selector reaches a group that nobody declares. */
-static void show_bad(const armed_fault_t *armed)
+static void publish_invalid_config(const scheduled_fault_t *scheduled)
 {
-    uint64_t version = lab_config_version(armed->fleet->config_text) + 1;
-    char *text = lab_config_with_version(armed->fleet->config_text, version);
+    uint64_t version = lab_config_version(scheduled->fleet->config_text) + 1;
+    char *text = lab_config_with_version(scheduled->fleet->config_text, version);
     char *bad = g_strconcat(text, "  - {kind: bad, groups: [service=nobody], wait: deadline, ",
                             "deadline_ms: 100, least_coverage_percent: 50}\n", NULL);
-    show_text(armed->fleet, bad);
+    write_config_file(scheduled->fleet, bad);
     g_free(bad);
     g_free(text);
 }
@@ -201,148 +201,150 @@
     g_free(body);
 }
 
-static void begin_repartition(const armed_fault_t *armed)
+static void begin_repartition(const scheduled_fault_t *scheduled)
 {
-    const lab_fleet_t *fleet = armed->fleet;
-    const ts_backend_t *first = find_backend(fleet, armed->fault->target);
-    const ts_backend_t *second = find_backend(fleet, armed->fault->to);
+    const lab_fleet_t *fleet = scheduled->fleet;
+    const ts_backend_t *first = find_backend(fleet, scheduled->fault->target);
+    const ts_backend_t *second = find_backend(fleet, scheduled->fault->to);
     char *both = g_strdup_printf("\"%s\", \"%s\"", first->shards[0], second->shards[0]);
     set_shards(fleet, first, both);
     set_shards(fleet, second, both);
     g_free(both);
     uint64_t version = lab_config_version(fleet->config_text) + 1;
-    char *exchanged = exchange_shards(fleet->config_text, armed->fault->target, armed->fault->to);
-    publish(armed, lab_config_with_version(exchanged, version));
+    char *exchanged =
+        exchange_shards(fleet->config_text, scheduled->fault->target, scheduled->fault->to);
+    publish(scheduled, lab_config_with_version(exchanged, version));
     g_free(exchanged);
 }
 
-static void end_repartition(const armed_fault_t *armed)
+static void end_repartition(const scheduled_fault_t *scheduled)
 {
-    const ts_backend_t *first = find_backend(armed->fleet, armed->fault->target);
-    const ts_backend_t *second = find_backend(armed->fleet, armed->fault->to);
+    const ts_backend_t *first = find_backend(scheduled->fleet, scheduled->fault->target);
+    const ts_backend_t *second = find_backend(scheduled->fleet, scheduled->fault->to);
     char *of_first = g_strdup_printf("\"%s\"", second->shards[0]);
     char *of_second = g_strdup_printf("\"%s\"", first->shards[0]);
-    set_shards(armed->fleet, first, of_first);
-    set_shards(armed->fleet, second, of_second);
+    set_shards(scheduled->fleet, first, of_first);
+    set_shards(scheduled->fleet, second, of_second);
     g_free(of_first);
     g_free(of_second);
 }
 
 /* ---- snapshot roll ---- */
 
-static void roll_next(uv_timer_t *timer)
+static void roll_next_backend(uv_timer_t *timer)
 {
-    armed_fault_t *armed = timer->data;
-    const lab_fleet_t *fleet = armed->fleet;
-    if (armed->rolled >= fleet->declarations->backends_count) {
+    scheduled_fault_t *scheduled = timer->data;
+    const lab_fleet_t *fleet = scheduled->fleet;
+    if (scheduled->rolled_backends >= fleet->declarations->backends_count) {
         uv_timer_stop(timer);
         return;
     }
-    const ts_backend_t *backend = &fleet->declarations->backends[armed->rolled++];
+    const ts_backend_t *backend = &fleet->declarations->backends[scheduled->rolled_backends++];
     char *body =
-        g_strdup_printf("{\"snapshot\": %u, \"keep_previous\": %s}", armed->fault->snapshot,
-                        armed->fault->keep_previous ? "true" : "false");
+        g_strdup_printf("{\"snapshot\": %u, \"keep_previous\": %s}", scheduled->fault->snapshot,
+                        scheduled->fault->keep_previous ? "true" : "false");
     send_control(fleet, backend->address, body);
     g_free(body);
 }
 
-static void begin_roll(armed_fault_t *armed)
+static void begin_roll(scheduled_fault_t *scheduled)
 {
-    uint64_t step_ms = (uint64_t)(armed->fault->for_s * MS_PER_S_DOUBLE /
-                                  armed->fleet->declarations->backends_count);
-    uv_timer_start(&armed->middle, roll_next, 0, MAX(step_ms, 1));
+    uint64_t step_ms = (uint64_t)(scheduled->fault->for_s * MS_PER_S_DOUBLE /
+                                  scheduled->fleet->declarations->backends_count);
+    uv_timer_start(&scheduled->middle, roll_next_backend, 0, MAX(step_ms, 1));
 }
 
 /* ---- beginning and ending ---- */
 
-static void warm_up_slowly(uv_timer_t *timer)
+static void begin_warmup(uv_timer_t *timer)
 {
-    const armed_fault_t *armed = timer->data;
-    control_backend(armed, "{\"state\": \"serving\", \"cold_ms\": %g}",
-                    armed->fault->for_s * MS_PER_S_DOUBLE);
+    const scheduled_fault_t *scheduled = timer->data;
+    control_backend(scheduled, "{\"state\": \"serving\", \"cold_ms\": %g}",
+                    scheduled->fault->for_s * MS_PER_S_DOUBLE);
 }
 
 static void begin_fault(uv_timer_t *timer)
 {
-    armed_fault_t *armed = timer->data;
-    switch (armed->fault->type) {
+    scheduled_fault_t *scheduled = timer->data;
+    switch (scheduled->fault->type) {
     case LAB_FAULT_STRAGGLE:
-        control_backend(armed, "{\"slow_factor\": %g}", armed->fault->factor);
+        control_backend(scheduled, "{\"slow_factor\": %g}", scheduled->fault->factor);
         break;
     case LAB_FAULT_KILL:
-        kill_target(armed);
+        kill_target(scheduled);
         break;
     case LAB_FAULT_START:
-        start_target(armed);
+        start_target(scheduled);
         break;
     case LAB_FAULT_PAUSE:
-        note_disturbance(armed);
-        signal_node(armed, SIGSTOP);
+        record_disturbance(scheduled);
+        signal_node(scheduled, SIGSTOP);
         break;
     case LAB_FAULT_PARTITION:
-        control_proxy(armed, armed->fault->mode == NULL ? "blackhole" : armed->fault->mode);
+        control_proxy(scheduled,
+                      scheduled->fault->mode == NULL ? "blackhole" : scheduled->fault->mode);
         break;
     case LAB_FAULT_DRAIN:
-        control_backend(armed, "{\"state\": \"draining\"}");
+        control_backend(scheduled, "{\"state\": \"draining\"}");
         break;
     case LAB_FAULT_COLD_START:
-        control_backend(armed, "{\"state\": \"starting\"}");
-        uv_timer_start(&armed->middle, warm_up_slowly, COLD_STARTING_MS, 0);
+        control_backend(scheduled, "{\"state\": \"starting\"}");
+        uv_timer_start(&scheduled->middle, begin_warmup, STARTING_MS, 0);
         break;
     case LAB_FAULT_SHED:
-        control_backend(armed, "{\"state\": \"shedding\"}");
+        control_backend(scheduled, "{\"state\": \"shedding\"}");
         break;
     case LAB_FAULT_SNAPSHOT_ROLL:
-        begin_roll(armed);
+        begin_roll(scheduled);
         break;
     case LAB_FAULT_REPARTITION:
-        begin_repartition(armed);
+        begin_repartition(scheduled);
         break;
     case LAB_FAULT_CONFIG_DOWN:
-        send_control(armed->fleet, armed->fleet->platform, "{\"mode\": \"down\"}");
+        send_control(scheduled->fleet, scheduled->fleet->platform, "{\"mode\": \"down\"}");
         break;
     case LAB_FAULT_CONFIG_STALE:
-        show_text(armed->fleet, armed->fleet->first_config);
+        write_config_file(scheduled->fleet, scheduled->fleet->first_config);
         break;
     case LAB_FAULT_CONFIG_CHANGE:
-        publish_change(armed);
+        publish_change(scheduled);
         break;
     case LAB_FAULT_CONFIG_BAD:
-        show_bad(armed);
+        publish_invalid_config(scheduled);
         break;
     case LAB_FAULT_STOP:
-        note_stop(armed);
-        signal_node(armed, SIGTERM);
+        record_stop(scheduled);
+        signal_node(scheduled, SIGTERM);
         break;
     }
 }
 
 static void end_fault(uv_timer_t *timer)
 {
-    armed_fault_t *armed = timer->data;
-    switch (armed->fault->type) {
+    scheduled_fault_t *scheduled = timer->data;
+    switch (scheduled->fault->type) {
     case LAB_FAULT_STRAGGLE:
-        control_backend(armed, "{\"slow_factor\": 1.0}");
+        control_backend(scheduled, "{\"slow_factor\": 1.0}");
         break;
     case LAB_FAULT_PAUSE:
-        signal_node(armed, SIGCONT);
+        signal_node(scheduled, SIGCONT);
         break;
     case LAB_FAULT_PARTITION:
-        control_proxy(armed, "pass");
+        control_proxy(scheduled, "pass");
         break;
     case LAB_FAULT_DRAIN:
     case LAB_FAULT_SHED:
-        control_backend(armed, "{\"state\": \"serving\"}");
+        control_backend(scheduled, "{\"state\": \"serving\"}");
         break;
     case LAB_FAULT_REPARTITION:
-        end_repartition(armed);
+        end_repartition(scheduled);
         break;
     case LAB_FAULT_CONFIG_DOWN:
-        send_control(armed->fleet, armed->fleet->platform, "{\"mode\": \"up\"}");
+        send_control(scheduled->fleet, scheduled->fleet->platform, "{\"mode\": \"up\"}");
         break;
     case LAB_FAULT_CONFIG_STALE:
     case LAB_FAULT_CONFIG_BAD:
-        show_text(armed->fleet, armed->fleet->config_text);
+        write_config_file(scheduled->fleet, scheduled->fleet->config_text);
         break;
     default:
         break;
@@ -390,25 +392,25 @@
     return true;
 }
 
-void lab_faults_arm(lab_fleet_t *fleet, lab_fault_log_t *log)
+void lab_faults_schedule(lab_fleet_t *fleet, lab_fault_log_t *log)
 {
     for (unsigned i = 0; i < fleet->scenario->faults_count; i++) {
         const lab_fault_t *fault = &fleet->scenario->faults[i];
-        armed_fault_t *armed = g_new0(armed_fault_t, 1);
-        armed->fleet = fleet;
-        armed->log = log;
-        armed->fault = fault;
-        uv_timer_init(fleet->loop, &armed->begin);
-        uv_timer_init(fleet->loop, &armed->middle);
-        uv_timer_init(fleet->loop, &armed->end);
-        armed->begin.data = armed;
-        armed->middle.data = armed;
-        armed->end.data = armed;
+        scheduled_fault_t *scheduled = g_new0(scheduled_fault_t, 1);
+        scheduled->fleet = fleet;
+        scheduled->log = log;
+        scheduled->fault = fault;
+        uv_timer_init(fleet->loop, &scheduled->begin);
+        uv_timer_init(fleet->loop, &scheduled->middle);
+        uv_timer_init(fleet->loop, &scheduled->end);
+        scheduled->begin.data = scheduled;
+        scheduled->middle.data = scheduled;
+        scheduled->end.data = scheduled;
         uint64_t at_ms = (uint64_t)(fault->at_s * MS_PER_S_DOUBLE);
-        uv_timer_start(&armed->begin, begin_fault, at_ms, 0);
+        uv_timer_start(&scheduled->begin, begin_fault, at_ms, 0);
         if (fault->for_s > 0) {
             uint64_t for_ms = (uint64_t)(fault->for_s * MS_PER_S_DOUBLE);
-            uv_timer_start(&armed->end, end_fault, at_ms + for_ms, 0);
+            uv_timer_start(&scheduled->end, end_fault, at_ms + for_ms, 0);
         }
     }
 }
--- a/lab/faults.h
+++ b/lab/faults.h
@@ -26,6 +26,6 @@
 /** Checks that every fault's target exists; false with a message on standard error. */
 bool lab_faults_check(const lab_fleet_t *fleet);
 /** Arms a timer for every fault; times count from now. */
-void lab_faults_arm(lab_fleet_t *fleet, lab_fault_log_t *log);
+void lab_faults_schedule(lab_fleet_t *fleet, lab_fault_log_t *log);
 
 #endif
--- a/lab/fuzz.c
+++ b/lab/fuzz.c
@@ -19,14 +19,14 @@
 #define SEARCHERS 12U
 #define SETTLE_US (9ULL * TS_US_PER_S)
 /* After the last action everything heals, and every query must have come to its end. */
-#define FINISH_US (20ULL * TS_US_PER_S)
+#define FINAL_RUN_US (20ULL * TS_US_PER_S)
 #define ANSWER_SLACK_US (1000ULL * TS_US_PER_MS)
 #define DISPATCH_KIND "dispatch"
 #define KEYS 5U
 /* A repeat is of one of the newest ids, as a caller's would be. */
 #define RECENT_IDS 6U
 /* Some seeds run fast, others leave time for suspicions, fences and partitions. */
-#define PACES 3U
+#define GAP_VARIANTS 3U
 
 static const char *const first_config =
     "version: 1\n"
@@ -81,10 +81,10 @@
     char text[24];
     int64_t issued_at_ms;
     unsigned runs;
-    unsigned open; /* submissions that have not come to their end */
+    unsigned open_submissions; /* submissions that have not come to their end */
     bool is_unrepeatable;
-    bool is_last_refused;   /* the last submission ended with 'not run' */
-    bool is_repeatable_now; /* ended unknown: a caller would send it again */
+    bool is_last_refused; /* the last submission ended with 'not run' */
+    bool may_retry;       /* ended unknown: a caller would send it again */
 } request_t;
 
 /* One submission of a request. */
@@ -113,10 +113,10 @@
     bool is_cut;
 } run_t;
 
-static void report(run_t *run, const char *format, ...) G_GNUC_PRINTF(2, 3);
+static void report_violation(run_t *run, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
 /* Keeps the first broken promise. */
-static void report(run_t *run, const char *format, ...)
+static void report_violation(run_t *run, const char *format, ...)
 {
     if (run->finding.is_broken) {
         return;
@@ -136,29 +136,30 @@
     run_t *run = context;
     request_t *request = g_hash_table_lookup(run->requests, ran->request_id);
     if (request == NULL) {
-        report(run, "a request nobody sent: %s", ran->request_id);
+        report_violation(run, "a request nobody sent: %s", ran->request_id);
         return;
     }
     request->runs++;
     if (request->is_unrepeatable && request->runs > 1) {
-        report(run, "ran_twice: %s, again at %s", request->id, ran->backend);
+        report_violation(run, "ran_twice: %s, again at %s", request->id, ran->backend);
     }
-    if (request->open == 0 && request->is_last_refused) {
-        report(run, "ran_though_refused: %s at %s after the refusal", request->id, ran->backend);
+    if (request->open_submissions == 0 && request->is_last_refused) {
+        report_violation(run, "ran_though_refused: %s at %s after the refusal", request->id,
+                         ran->backend);
     }
 }
 
 static void note_after_leave(void *context, const char *request_id, const char *backend)
 {
-    report(context, "work_after_leave: %s at %s", request_id, backend);
+    report_violation(context, "work_after_leave: %s at %s", request_id, backend);
 }
 
 static void note_configured(void *context, unsigned node, uint64_t version)
 {
     run_t *run = context;
     if (version < run->node_versions[node]) {
-        report(run, "config_reverted: node %u from %" PRIu64 " to %" PRIu64, node,
-               run->node_versions[node], version);
+        report_violation(run, "config_reverted: node %u from %" PRIu64 " to %" PRIu64, node,
+                         run->node_versions[node], version);
     }
     run->node_versions[node] = MAX(version, run->node_versions[node]);
 }
@@ -177,24 +178,24 @@
     lab_check_answer(&asked, root, &told, &violations);
     if (violations.mixed_snapshot > 0 || violations.false_coverage > 0 ||
         violations.wrong_answer > 0) {
-        report(run, "%s: %s",
-               violations.mixed_snapshot > 0   ? "mixed_snapshot"
-               : violations.false_coverage > 0 ? "false_coverage"
-                                               : "wrong_answer",
-               request->id);
+        report_violation(run, "%s: %s",
+                         violations.mixed_snapshot > 0   ? "mixed_snapshot"
+                         : violations.false_coverage > 0 ? "false_coverage"
+                                                         : "wrong_answer",
+                         request->id);
     }
     json_decref(root);
     free(text);
 }
 
-static void take_answer(void *context, const ts_answer_t *answer)
+static void handle_answer(void *context, const ts_answer_t *answer)
 {
     submission_t *submission = context;
     run_t *run = submission->run;
     request_t *request = submission->request;
-    request->open--;
+    request->open_submissions--;
     request->is_last_refused = answer->outcome == TS_OUTCOME_REFUSED;
-    request->is_repeatable_now = answer->outcome == TS_OUTCOME_UNKNOWN;
+    request->may_retry = answer->outcome == TS_OUTCOME_UNKNOWN;
     switch (answer->outcome) {
     case TS_OUTCOME_ANSWERED:
         run->finding.answered++;
@@ -203,7 +204,8 @@
     case TS_OUTCOME_REFUSED:
         run->finding.refused++;
         if (request->runs > 0) {
-            report(run, "ran_though_refused: %s (%s)", request->id, ts_error_name(answer->error));
+            report_violation(run, "ran_though_refused: %s (%s)", request->id,
+                             ts_error_name(answer->error));
         }
         break;
     case TS_OUTCOME_UNKNOWN:
@@ -220,12 +222,12 @@
         return;
     }
     const ts_selector_t *selector = ts_declarations_selector(run->declarations, request->kind);
-    bool is_by_key = selector->route == TS_ROUTE_KEY;
+    bool has_key_route = selector->route == TS_ROUTE_KEY;
     ts_query_request_t query = {
         .id = g_strdup(request->id),
         .kind = g_strdup(request->kind),
-        .text = is_by_key ? NULL : g_strdup(request->text),
-        .key = is_by_key ? g_strdup(request->text) : NULL,
+        .text = has_key_route ? NULL : g_strdup(request->text),
+        .key = has_key_route ? g_strdup(request->text) : NULL,
         .limit = 100,
         .unrepeatable = request->is_unrepeatable,
         .repeat = is_repeat,
@@ -239,8 +241,8 @@
     submission->due_us =
         lab_sim_now_us(run->sim) + selector->deadline_ms * TS_US_PER_MS + ANSWER_SLACK_US;
     g_hash_table_add(run->submissions, submission);
-    request->open++;
-    ts_front_submit(front, &query, take_answer, submission);
+    request->open_submissions++;
+    ts_front_submit(front, &query, handle_answer, submission);
 }
 
 static request_t *create_request(run_t *run, const char *kind, bool is_unrepeatable)
@@ -282,20 +284,20 @@
         submission_t *submission = key;
         unsigned node = submission->node;
         if (submission->generation != run->node_generations[node]) {
-            submission->request->open--;
+            submission->request->open_submissions--;
             submission->request->is_last_refused = false;
-            submission->request->is_repeatable_now = true;
+            submission->request->may_retry = true;
             g_hash_table_iter_remove(&iterator);
         } else if (now_us >
                    MAX(submission->due_us, run->disturbed_until_us[node] + ANSWER_SLACK_US)) {
-            report(run, "no_answer: %s at node %u", submission->request->id, node);
+            report_violation(run, "no_answer: %s at node %u", submission->request->id, node);
         }
     }
 }
 
 /* ---- actions ---- */
 
-static char *with_version(uint64_t version, const char *suffix)
+static char *compose_config(uint64_t version, const char *suffix)
 {
     const char *rest = strchr(first_config, '\n');
     return g_strdup_printf("version: %" PRIu64 "%s%s", version, rest, suffix);
@@ -303,12 +305,12 @@
 
 static void publish(run_t *run, uint64_t version, const char *suffix)
 {
-    char *text = with_version(version, suffix);
+    char *text = compose_config(version, suffix);
     lab_sim_set_platform(run->sim, text);
     g_free(text);
 }
 
-static void end_process(run_t *run, unsigned node)
+static void kill_process(run_t *run, unsigned node)
 {
     if (lab_sim_is_running(run->sim, node)) {
         lab_sim_kill(run->sim, node);
@@ -323,16 +325,16 @@
 static uint64_t version_floor(const run_t *run, unsigned starting)
 {
     uint64_t floor = run->node_versions[starting];
-    bool hears_anybody = false;
+    bool has_reachable_node = false;
     for (unsigned node = 0; node < NODES; node++) {
         bool is_awake = lab_sim_is_running(run->sim, node) &&
                         run->disturbed_until_us[node] <= lab_sim_now_us(run->sim);
         if (node != starting && is_awake && !run->is_stopping[node]) {
-            hears_anybody = true;
+            has_reachable_node = true;
             floor = MIN(floor, run->node_versions[node]);
         }
     }
-    return hears_anybody && !run->is_cut ? floor : 0;
+    return has_reachable_node && !run->is_cut ? floor : 0;
 }
 
 static void start_process(run_t *run, unsigned node)
@@ -356,13 +358,13 @@
     run->is_cut = false;
 }
 
-static void roll(run_t *run, const lab_action_t *action)
+static void roll_snapshot(run_t *run, const lab_action_t *action)
 {
     run->snapshot += lab_sim_random(run->sim) % 8 == 0;
     lab_sim_set_snapshot(run->sim, action->a % SEARCHERS, run->snapshot, action->b % 2 == 0);
 }
 
-static void act(run_t *run, const lab_action_t *action)
+static void apply_action(run_t *run, const lab_action_t *action)
 {
     unsigned node = action->a % NODES;
     lab_action_t bounded = *action;
@@ -379,7 +381,7 @@
         repeat(run, &bounded);
         break;
     case LAB_ACTION_KILL:
-        end_process(run, node);
+        kill_process(run, node);
         break;
     case LAB_ACTION_START:
         start_process(run, node);
@@ -415,7 +417,7 @@
                               action->b % 2 == 0 ? 1.0 : 1.0 + action->b % 60);
         break;
     case LAB_ACTION_ROLL:
-        roll(run, action);
+        roll_snapshot(run, action);
         break;
     case LAB_ACTION_CONFIG:
         publish(run, ++run->version, "");
@@ -482,7 +484,7 @@
     }
 }
 
-static void pass_time(run_t *run, ts_time_us_t span_us)
+static void advance_time(run_t *run, ts_time_us_t span_us)
 {
     bool was_running[NODES];
     for (unsigned node = 0; node < NODES; node++) {
@@ -500,7 +502,7 @@
         start_process(run, node);
     }
     for (unsigned i = 0; i < 20 && !run->finding.is_broken; i++) {
-        pass_time(run, FINISH_US / 20);
+        advance_time(run, FINAL_RUN_US / 20);
     }
 }
 
@@ -511,8 +513,8 @@
     lab_sim_run(run.sim, SETTLE_US);
     for (guint i = 0; i < actions->len && !run.finding.is_broken; i++) {
         const lab_action_t *action = &g_array_index(actions, lab_action_t, i);
-        pass_time(&run, action->after_ms * TS_US_PER_MS);
-        act(&run, action);
+        advance_time(&run, action->after_ms * TS_US_PER_MS);
+        apply_action(&run, action);
         run.finding.actions = i + 1;
     }
     if (!run.finding.is_broken) {
@@ -536,7 +538,7 @@
     [LAB_ACTION_CONFIG_DOWN] = 5, [LAB_ACTION_CONFIG_BAD] = 4,
 };
 
-static lab_action_type_t draw_type(GRand *random)
+static lab_action_type_t choose_type(GRand *random)
 {
     gint32 sum = 0;
     for (int i = 0; i < LAB_ACTION_COUNT; i++) {
@@ -550,17 +552,17 @@
     return (lab_action_type_t)type;
 }
 
-GArray *lab_fuzz_draw(uint64_t seed, unsigned count)
+GArray *lab_fuzz_generate(uint64_t seed, unsigned count)
 {
-    static const gint32 paces_ms[PACES] = {120, 300, 900};
+    static const gint32 gap_max_ms[GAP_VARIANTS] = {120, 300, 900};
     GRand *random = g_rand_new_with_seed((guint32)seed);
     GArray *actions = g_array_new(FALSE, FALSE, sizeof(lab_action_t));
     for (unsigned i = 0; i < count; i++) {
         bool is_burst = g_rand_int_range(random, 0, 3) == 0;
         lab_action_t action = {
-            .type = draw_type(random),
-            .after_ms =
-                (uint32_t)g_rand_int_range(random, 0, is_burst ? 3 : paces_ms[seed % PACES]),
+            .type = choose_type(random),
+            .after_ms = (uint32_t)g_rand_int_range(random, 0,
+                                                   is_burst ? 3 : gap_max_ms[seed % GAP_VARIANTS]),
             .a = g_rand_int(random),
             .b = g_rand_int(random),
         };
@@ -572,7 +574,7 @@
 
 /* ---- shrinking ---- */
 
-static GArray *without(const GArray *actions, guint begin, guint count)
+static GArray *copy_without(const GArray *actions, guint begin, guint count)
 {
     GArray *rest = g_array_new(FALSE, FALSE, sizeof(lab_action_t));
     uint32_t removed_ms = 0;
@@ -591,10 +593,10 @@
 
 GArray *lab_fuzz_shrink(uint64_t seed, const GArray *actions)
 {
-    GArray *best = without(actions, 0, 0);
+    GArray *best = copy_without(actions, 0, 0);
     for (guint chunk = best->len / 2; chunk > 0; chunk /= 2) {
         for (guint begin = 0; begin < best->len;) {
-            GArray *candidate = without(best, begin, chunk);
+            GArray *candidate = copy_without(best, begin, chunk);
             if (lab_fuzz_run(seed, candidate).is_broken) {
                 g_array_free(best, TRUE);
                 best = candidate;
--- a/lab/fuzz.h
+++ b/lab/fuzz.h
@@ -51,7 +51,7 @@
 } lab_finding_t;
 
 /** Draws a list of `count` actions from a seed. */
-GArray *lab_fuzz_draw(uint64_t seed, unsigned count);
+GArray *lab_fuzz_generate(uint64_t seed, unsigned count);
 /** Runs a list; deterministic in seed and list. */
 lab_finding_t lab_fuzz_run(uint64_t seed, const GArray *actions);
 /** The shortest list found that still breaks a promise. */
--- a/lab/fuzz_command.c
+++ b/lab/fuzz_command.c
@@ -12,7 +12,7 @@
 /* Runs one seed; prints and shrinks what it finds. Returns whether every promise held. */
 static bool fuzz_seed(uint64_t seed, unsigned count, bool shrinks, lab_finding_t *finding)
 {
-    GArray *actions = lab_fuzz_draw(seed, count);
+    GArray *actions = lab_fuzz_generate(seed, count);
     *finding = lab_fuzz_run(seed, actions);
     if (finding->is_broken) {
         printf("seed %lu: %s (after %u actions, %lu steps)\n", (unsigned long)seed, finding->text,
@@ -20,8 +20,8 @@
     }
     if (finding->is_broken && shrinks) {
         GArray *shortest = lab_fuzz_shrink(seed, actions);
-        lab_finding_t again = lab_fuzz_run(seed, shortest);
-        printf("shortest trace: %u actions: %s\n", shortest->len, again.text);
+        lab_finding_t rerun = lab_fuzz_run(seed, shortest);
+        printf("shortest trace: %u actions: %s\n", shortest->len, rerun.text);
         for (guint i = 0; i < shortest->len; i++) {
             GString *line = g_string_new(NULL);
             lab_fuzz_describe(&g_array_index(shortest, lab_action_t, i), line);
@@ -36,13 +36,13 @@
 }
 
 /* How long to go on: for so many seeds, and then for so long. */
-typedef struct extent {
+typedef struct limits {
     unsigned seeds;
     unsigned seconds;
     bool stops_at_first;
-} extent_t;
+} run_limits_t;
 
-static int fuzz(uint64_t seed, unsigned count, const extent_t *extent, bool shrinks)
+static int fuzz(uint64_t seed, unsigned count, const run_limits_t *limits, bool shrinks)
 {
     ts_time_us_t begin_us = ts_clock_now_us();
     uint64_t steps = 0;
@@ -57,10 +57,10 @@
         outcomes[1] += finding.refused;
         outcomes[2] += finding.unknown;
         runs++;
-        if (broken > 0 && extent->stops_at_first) {
+        if (broken > 0 && limits->stops_at_first) {
             break;
         }
-    } while (runs < extent->seeds || ts_clock_now_us() - begin_us < extent->seconds * TS_US_PER_S);
+    } while (runs < limits->seeds || ts_clock_now_us() - begin_us < limits->seconds * TS_US_PER_S);
     double span_s = (double)(ts_clock_now_us() - begin_us) / (double)TS_US_PER_S;
     printf("{\"seeds\": %u, \"broken\": %u, \"steps\": %lu, \"steps_per_s\": %.0f, \"answered\": "
            "%lu, \"refused\": %lu, \"unknown\": %lu}\n",
@@ -85,10 +85,11 @@
     if (ts_command_parse(argc, argv, table, TABLE_SIZE,
                          "fuzz whole nodes against the oracle; exit 0 when every promise held",
                          &exit_code)) {
-        extent_t extent = {seeds->count > 0 ? (unsigned)seeds->ival[0] : 1,
-                           seconds->count > 0 ? (unsigned)seconds->ival[0] : 0, first->count > 0};
+        run_limits_t limits = {seeds->count > 0 ? (unsigned)seeds->ival[0] : 1,
+                               seconds->count > 0 ? (unsigned)seconds->ival[0] : 0,
+                               first->count > 0};
         exit_code = fuzz(seed->count > 0 ? (uint64_t)seed->ival[0] : 1,
-                         steps->count > 0 ? (unsigned)steps->ival[0] : DEFAULT_ACTIONS, &extent,
+                         steps->count > 0 ? (unsigned)steps->ival[0] : DEFAULT_ACTIONS, &limits,
                          plain->count == 0);
     }
     arg_freetable(table, TABLE_SIZE);
--- a/lab/link.c
+++ b/lab/link.c
@@ -37,7 +37,7 @@
     uv_tcp_t *to;
     GQueue *chunks;           /* of chunk_t */
     ts_time_us_t last_due_us; /* bytes of a connection never overtake each other */
-    bool is_ended;            /* nothing more comes: the connection ends once all is sent */
+    bool has_eof;             /* nothing more comes: the connection ends once all is sent */
     bool is_forward;          /* from the dialling node to the listening one */
 } direction_t;
 
@@ -51,7 +51,7 @@
     direction_t forward;
     direction_t backward;
     unsigned open_handles;
-    bool is_swallowed; /* it has gone silent for good */
+    bool is_blackholed; /* it has gone silent for good */
     bool is_closing;
 };
 
@@ -59,9 +59,9 @@
 {
     const connection_t *connection = direction->connection;
     lab_link_mode_t mode = connection->link->ops->mode(connection->link->ctx, connection->source);
-    return connection->is_swallowed || mode == LAB_LINK_SILENT ||
+    return connection->is_blackholed || mode == LAB_LINK_SILENT ||
            (mode == LAB_LINK_HALF_OPEN && direction->is_forward) ||
-           (mode == LAB_LINK_DEAF && !direction->is_forward);
+           (mode == LAB_LINK_HOLD_REPLIES && !direction->is_forward);
 }
 
 /* ---- closing ---- */
@@ -136,9 +136,9 @@
 static void arm_timer(connection_t *connection);
 
 /* Ends the connection when its last bytes are on their way. */
-static void end_if_sent(direction_t *direction)
+static void close_if_drained(direction_t *direction)
 {
-    if (direction->is_ended && g_queue_is_empty(direction->chunks))
+    if (direction->has_eof && g_queue_is_empty(direction->chunks))
         close_connection(direction->connection);
 }
 
@@ -179,7 +179,7 @@
     *buffer = uv_buf_init(bytes, sizeof(bytes));
 }
 
-static void take_bytes(direction_t *direction, const char *bytes, size_t length)
+static void queue_bytes(direction_t *direction, const char *bytes, size_t length)
 {
     connection_t *connection = direction->connection;
     chunk_t *chunk = g_malloc(sizeof(*chunk) + length);
@@ -197,33 +197,33 @@
 }
 
 /* The other side ended: in order, then once what it sent has passed; else at once, and so here. */
-static void take_end(direction_t *direction)
+static void handle_eof(direction_t *direction)
 {
     if (!ts_stream_ended_in_order((const uv_stream_t *)direction->from)) {
         end_connection(direction->connection, true);
         return;
     }
-    direction->is_ended = true;
+    direction->has_eof = true;
     uv_read_stop((uv_stream_t *)direction->from);
-    end_if_sent(direction);
+    close_if_drained(direction);
 }
 
-static void take_read(direction_t *direction, ssize_t length, const uv_buf_t *buffer)
+static void handle_read(direction_t *direction, ssize_t length, const uv_buf_t *buffer)
 {
     if (length < 0)
-        take_end(direction);
+        handle_eof(direction);
     else if (length > 0)
-        take_bytes(direction, buffer->base, (size_t)length);
+        queue_bytes(direction, buffer->base, (size_t)length);
 }
 
 static void on_client_read(uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
 {
-    take_read(&((connection_t *)stream->data)->forward, length, buffer);
+    handle_read(&((connection_t *)stream->data)->forward, length, buffer);
 }
 
 static void on_server_read(uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
 {
-    take_read(&((connection_t *)stream->data)->backward, length, buffer);
+    handle_read(&((connection_t *)stream->data)->backward, length, buffer);
 }
 
 /* ---- accepting ---- */
@@ -251,7 +251,7 @@
     direction->is_forward = is_forward;
 }
 
-static void find_source(connection_t *connection)
+static void store_source(connection_t *connection)
 {
     struct sockaddr_storage address;
     int length = sizeof(address);
@@ -287,7 +287,7 @@
         close_connection(connection);
         return;
     }
-    find_source(connection);
+    store_source(connection);
     uv_tcp_nodelay(&connection->client, 1);
     uv_tcp_nodelay(&connection->server, 1);
     if (link->ops->mode(link->ctx, connection->source) == LAB_LINK_RESET ||
@@ -330,13 +330,13 @@
     }
 }
 
-void lab_link_swallow(lab_link_t *link)
+void lab_link_blackhole(lab_link_t *link)
 {
     for (guint i = 0; i < link->connections->len; i++)
-        ((connection_t *)g_ptr_array_index(link->connections, i))->is_swallowed = true;
+        ((connection_t *)g_ptr_array_index(link->connections, i))->is_blackholed = true;
 }
 
-void lab_link_end(lab_link_t *link)
+void lab_link_close(lab_link_t *link)
 {
     uv_close((uv_handle_t *)&link->listener, NULL);
     for (guint i = link->connections->len; i > 0; i--)
--- a/lab/link.h
+++ b/lab/link.h
@@ -11,10 +11,10 @@
 
 typedef enum lab_link_mode {
     LAB_LINK_PASS,
-    LAB_LINK_SILENT,    /**< bytes are held, both ways, until the mode changes */
-    LAB_LINK_RESET,     /**< connections are closed at once */
-    LAB_LINK_HALF_OPEN, /**< bytes to the listening end are held, the others pass */
-    LAB_LINK_DEAF       /**< bytes from the listening end are held, the others pass */
+    LAB_LINK_SILENT,      /**< bytes are held, both ways, until the mode changes */
+    LAB_LINK_RESET,       /**< connections are closed at once */
+    LAB_LINK_HALF_OPEN,   /**< bytes to the listening end are held, the others pass */
+    LAB_LINK_HOLD_REPLIES /**< bytes from the listening end are held, the others pass */
 } lab_link_mode_t;
 
 /** What decides; `source` is the dialling end's IP number. */
@@ -32,9 +32,9 @@
 /** Connections from now on go to another address. */
 void lab_link_set_target(lab_link_t *link, const char *target);
 /** What stands behind it has ended: it listens no more, and its connections are reset. */
-void lab_link_end(lab_link_t *link);
+void lab_link_close(lab_link_t *link);
 /** Connections that are open now carry nothing any more, without a reset; new ones do. */
-void lab_link_swallow(lab_link_t *link);
+void lab_link_blackhole(lab_link_t *link);
 /** To be called when `mode` would answer differently than before. */
 void lab_link_mode_changed(lab_link_t *link);
 
--- a/lab/planted/planted.c
+++ b/lab/planted/planted.c
@@ -13,7 +13,7 @@
 
 #include "../../src/broker/broker_internal.h"
 
-#define VERSION_LIFT 1000U
+#define VERSION_OFFSET 1000U
 
 static bool is_planted(const char *name)
 {
@@ -96,7 +96,7 @@
                                                ts_problems_t *problems)
 {
     ts_declarations_t *declarations = __real_ts_declarations_load(text, length, problems);
-    static uint64_t loads = VERSION_LIFT;
+    static uint64_t loads = VERSION_OFFSET;
     if (is_planted("version") && declarations != NULL) {
         declarations->version = ++loads;
     }
--- a/lab/ports.c
+++ b/lab/ports.c
@@ -9,10 +9,10 @@
  * process between the choice and the listening. */
 #define PORT_FIRST 12000U
 #define BLOCK_PORTS 100U
-#define BLOCKS 200U
+#define BLOCK_COUNT 200U
 /* Who holds the block `i` has bound this port plus `i`. */
-#define HOLDING_FIRST 11000U
-#define HOLDING_IP "127.0.0.1"
+#define LOCK_PORT_FIRST 11000U
+#define LOCK_IP "127.0.0.1"
 
 /* A socket bound to an address, or -1. */
 static int bind_port(const char *ip, unsigned port)
@@ -37,13 +37,13 @@
 }
 
 /* Takes a block that nobody holds, until the process ends; BLOCKS: all are held. */
-static unsigned take_block(void)
+static unsigned reserve_block(void)
 {
-    for (unsigned i = 0; i < BLOCKS; i++) {
-        if (bind_port(HOLDING_IP, HOLDING_FIRST + i) >= 0)
+    for (unsigned i = 0; i < BLOCK_COUNT; i++) {
+        if (bind_port(LOCK_IP, LOCK_PORT_FIRST + i) >= 0)
             return i;
     }
-    return BLOCKS;
+    return BLOCK_COUNT;
 }
 
 unsigned lab_next_port(const char *ip)
@@ -55,8 +55,8 @@
             if (is_free(ip, next))
                 return next++;
         }
-        unsigned block = take_block();
-        if (block == BLOCKS)
+        unsigned block = reserve_block();
+        if (block == BLOCK_COUNT)
             return 0;
         next = PORT_FIRST + block * BLOCK_PORTS;
         end = next + BLOCK_PORTS;
--- a/lab/run.c
+++ b/lab/run.c
@@ -244,7 +244,7 @@
     if (!start_load(fleet, &load)) {
         return false;
     }
-    lab_faults_arm(fleet, log);
+    lab_faults_schedule(fleet, log);
     double bound = fleet->scenario->seconds + LOAD_MARGIN_SECONDS;
     if (!lab_run_until(fleet, is_load_over, &load, bound)) {
         uv_process_kill(&load.handle, SIGKILL);
--- a/lab/soak.c
+++ b/lab/soak.c
@@ -18,40 +18,40 @@
 #define NODES_DEFAULT 5
 #define STOP_WAIT_MS 8000
 // After the last fault: until everything is asked of the gateways again, and how often.
-#define READY_MS 8000
-#define RECOVER_MS 12000
-#define RECOVER_REQUESTS 100
-#define RECOVER_SHARE 0.98
-#define LOOK_MS 100
+#define SETTLE_TIMEOUT_MS 8000
+#define RECOVERY_TIME_MS 12000
+#define RECOVERY_REQUESTS 100
+#define RECOVERY_MIN_SHARE 0.98
+#define POLL_MS 100
 #define REPORT_DIGITS 4
 #define RETRY_RATIO 0.2
 #define RETRY_SLACK 60
 #define WINDOW_US (10 * TS_US_PER_S)
 
-static unsigned recovered;
-static unsigned recovery_answers;
+static unsigned recovery_successes;
+static unsigned recovery_responses;
 
-void soak_say(soak_t *s, const char *format, ...)
+void soak_log(soak_t *s, const char *format, ...)
 {
     va_list arguments;
     va_start(arguments, format);
-    fprintf(s->timeline, "%9.3f ", (double)(ts_clock_now_us() - s->begun_us) / TS_US_PER_S);
+    fprintf(s->timeline, "%9.3f ", (double)(ts_clock_now_us() - s->started_us) / TS_US_PER_S);
     vfprintf(s->timeline, format, arguments);
     fprintf(s->timeline, "\n");
     fflush(s->timeline);
     va_end(arguments);
 }
 
-void soak_broken(soak_t *s, const char *promise, const char *format, ...)
+void soak_report_violation(soak_t *s, const char *promise, const char *format, ...)
 {
     va_list arguments;
     va_start(arguments, format);
     char *text = g_strdup_vprintf(format, arguments);
     va_end(arguments);
-    s->promises_broken++;
-    guint count = GPOINTER_TO_UINT(g_hash_table_lookup(s->broken, promise)) + 1;
-    g_hash_table_insert(s->broken, g_strdup(promise), GUINT_TO_POINTER(count));
-    soak_say(s, "BROKEN %s: %s", promise, text);
+    s->violations++;
+    guint count = GPOINTER_TO_UINT(g_hash_table_lookup(s->violations_by_guarantee, promise)) + 1;
+    g_hash_table_insert(s->violations_by_guarantee, g_strdup(promise), GUINT_TO_POINTER(count));
+    soak_log(s, "BROKEN %s: %s", promise, text);
     fprintf(stderr, "BROKEN %s: %s\n", promise, text);
     g_free(text);
 }
@@ -62,10 +62,10 @@
 }
 
 // Told to end: what was started is stopped, and the soak has failed.
-static void interrupt(uv_signal_t *handle, int number)
+static void handle_signal(uv_signal_t *handle, int number)
 {
     soak_t *s = handle->data;
-    soak_broken(s, "HARNESS", "interrupted by signal %d", number);
+    soak_report_violation(s, "HARNESS", "interrupted by signal %d", number);
     for (unsigned i = 0; i < s->options.nodes; i++)
         soak_node_signal(&s->nodes[i], SIGKILL);
     uv_run(&s->loop, UV_RUN_NOWAIT);
@@ -79,11 +79,11 @@
     for (size_t i = 0; i < G_N_ELEMENTS(numbers); i++) {
         uv_signal_init(&s->loop, &handles[i]);
         handles[i].data = s;
-        uv_signal_start(&handles[i], interrupt, numbers[i]);
+        uv_signal_start(&handles[i], handle_signal, numbers[i]);
     }
 }
 
-static void run_ms(soak_t *s, uint64_t span_ms)
+static void run_loop(soak_t *s, uint64_t span_ms)
 {
     uv_timer_t timer;
     uv_timer_init(&s->loop, &timer);
@@ -94,45 +94,45 @@
 }
 
 // Waits until no node is down, paused or stopping, and no link or store is spoiled.
-static bool await_calm(soak_t *s)
+static bool await_faults_ended(soak_t *s)
 {
-    for (unsigned waited = 0; waited < READY_MS; waited += LOOK_MS) {
+    for (unsigned waited = 0; waited < SETTLE_TIMEOUT_MS; waited += POLL_MS) {
         bool is_calm = s->store_faults == 0;
         for (unsigned i = 0; i < s->options.nodes; i++) {
             const soak_node_t *node = &s->nodes[i];
-            is_calm &= node->is_running && node->faults == 0 && !node->is_stopping;
+            is_calm &= node->is_running && node->active_faults == 0 && !node->is_stopping;
         }
         if (is_calm)
             return true;
-        run_ms(s, LOOK_MS);
+        run_loop(s, POLL_MS);
     }
     return false;
 }
 
-static void note_recovered(soak_t *s, unsigned status)
+static void count_recovery_response(soak_t *s, unsigned status)
 {
-    recovery_answers++;
-    recovered += status == 200;
+    recovery_responses++;
+    recovery_successes += status == 200;
 }
 
 // Once faults have ended every gateway must serve again.
 static void check_recovery(soak_t *s)
 {
-    if (!await_calm(s)) {
-        soak_broken(s, "HARNESS", "faults did not end");
+    if (!await_faults_ended(s)) {
+        soak_report_violation(s, "HARNESS", "faults did not end");
         return;
     }
-    run_ms(s, RECOVER_MS);
-    for (unsigned i = 0; i < RECOVER_REQUESTS; i++) {
-        soak_ask(s, &s->nodes[i % s->options.nodes], note_recovered);
-        run_ms(s, LOOK_MS / 5);
+    run_loop(s, RECOVERY_TIME_MS);
+    for (unsigned i = 0; i < RECOVERY_REQUESTS; i++) {
+        soak_send_request(s, &s->nodes[i % s->options.nodes], count_recovery_response);
+        run_loop(s, POLL_MS / 5);
     }
-    for (unsigned waited = 0; waited < READY_MS && recovery_answers < RECOVER_REQUESTS;
-         waited += LOOK_MS)
-        run_ms(s, LOOK_MS);
-    if (recovered < RECOVER_SHARE * RECOVER_REQUESTS)
-        soak_broken(s, "RECOVER", "%u of %d requests served after the faults", recovered,
-                    RECOVER_REQUESTS);
+    for (unsigned waited = 0; waited < SETTLE_TIMEOUT_MS && recovery_responses < RECOVERY_REQUESTS;
+         waited += POLL_MS)
+        run_loop(s, POLL_MS);
+    if (recovery_successes < RECOVERY_MIN_SHARE * RECOVERY_REQUESTS)
+        soak_report_violation(s, "RECOVER", "%u of %d requests served after the faults",
+                              recovery_successes, RECOVERY_REQUESTS);
 }
 
 static void check_budgets(soak_t *s)
@@ -140,8 +140,9 @@
     for (unsigned i = 0; i < SOAK_SERVICES; i++) {
         double excess = soak_budget_excess(&s->budgets[i], WINDOW_US, RETRY_RATIO, RETRY_SLACK);
         if (excess > 0)
-            soak_broken(s, "BUDGET", "service %s got %.0f arrivals too many in ten seconds",
-                        soak_service_name(i), excess);
+            soak_report_violation(s, "BUDGET",
+                                  "service %s got %.0f arrivals too many in ten seconds",
+                                  soak_service_name(i), excess);
     }
 }
 
@@ -150,20 +151,20 @@
 {
     for (unsigned i = 0; i < s->options.nodes; i++)
         soak_node_signal(&s->nodes[i], SIGTERM);
-    for (unsigned waited = 0; waited < STOP_WAIT_MS; waited += LOOK_MS) {
+    for (unsigned waited = 0; waited < STOP_WAIT_MS; waited += POLL_MS) {
         unsigned running = 0;
         for (unsigned i = 0; i < s->options.nodes; i++)
             running += s->nodes[i].is_running;
         if (running == 0)
             return;
-        run_ms(s, LOOK_MS);
+        run_loop(s, POLL_MS);
     }
     for (unsigned i = 0; i < s->options.nodes; i++) {
         if (s->nodes[i].is_running)
-            soak_broken(s, "STOP", "%s did not stop", s->nodes[i].name);
+            soak_report_violation(s, "STOP", "%s did not stop", s->nodes[i].name);
         soak_node_signal(&s->nodes[i], SIGKILL);
     }
-    run_ms(s, LOOK_MS);
+    run_loop(s, POLL_MS);
 }
 
 static gint compare_times(gconstpointer left, gconstpointer right)
@@ -177,8 +178,8 @@
 static double latency_ms(const soak_t *s, double share)
 {
     guint n = s->latencies->len;
-    guint at = n == 0 ? 0 : MIN((guint)(share * n), n - 1);
-    return n == 0 ? 0 : (double)g_array_index(s->latencies, ts_time_us_t, at) / TS_US_PER_MS;
+    guint index = n == 0 ? 0 : MIN((guint)(share * n), n - 1);
+    return n == 0 ? 0 : (double)g_array_index(s->latencies, ts_time_us_t, index) / TS_US_PER_MS;
 }
 
 static void print_report(const soak_t *s)
@@ -186,19 +187,21 @@
     GHashTableIter it;
     gpointer promise = NULL;
     gpointer count = NULL;
-    json_t *broken = json_object();
-    g_hash_table_iter_init(&it, s->broken);
+    json_t *violations_by_guarantee = json_object();
+    g_hash_table_iter_init(&it, s->violations_by_guarantee);
     while (g_hash_table_iter_next(&it, &promise, &count))
-        json_object_set_new(broken, promise, json_integer(GPOINTER_TO_UINT(count)));
-    json_t *report = json_pack(
-        "{s:I, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:o}", "seed",
-        (json_int_t)s->options.seed, "seconds", (int)s->options.seconds, "gateways",
-        (int)s->options.nodes, "faults", (int)s->faults_begun, "versions", (int)s->version,
-        "searchers", (int)s->searchers_made, "requests", (int)s->asked, "ok", (int)s->answered[2],
-        "refused_or_failed", (int)s->answered[5], "no_answer", (int)s->answered[0],
-        "promises_broken", (int)s->promises_broken, "broken", broken);
-    json_object_set_new(report, "fatal_requests", json_integer(s->fatals));
-    json_object_set_new(report, "ended_under_one", json_integer(s->fatal_ended));
+        json_object_set_new(violations_by_guarantee, promise,
+                            json_integer(GPOINTER_TO_UINT(count)));
+    json_t *report =
+        json_pack("{s:I, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:o}", "seed",
+                  (json_int_t)s->options.seed, "seconds", (int)s->options.seconds, "gateways",
+                  (int)s->options.nodes, "faults", (int)s->faults_begun, "versions",
+                  (int)s->version, "searchers", (int)s->searchers_made, "requests",
+                  (int)s->requests_sent, "ok", (int)s->responses[2], "refused_or_failed",
+                  (int)s->responses[5], "no_answer", (int)s->responses[0], "promises_broken",
+                  (int)s->violations, "broken", violations_by_guarantee);
+    json_object_set_new(report, "fatal_requests", json_integer(s->fatal_requests));
+    json_object_set_new(report, "ended_under_one", json_integer(s->max_crashes_per_fatal));
     g_array_sort(s->latencies, compare_times);
     json_object_set_new(report, "p50_ms", json_real(latency_ms(s, 0.5)));
     json_object_set_new(report, "p99_ms", json_real(latency_ms(s, 0.99)));
@@ -224,12 +227,12 @@
     static soak_t s;
     s.options = *options;
     s.random = g_rand_new_with_seed((guint32)(options->seed ^ options->seed >> 32));
-    s.records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    s.request_records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     s.instances = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    s.broken = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    s.violations_by_guarantee = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     s.limited_runs = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
     s.latencies = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
-    s.begun_us = ts_clock_now_us();
+    s.started_us = ts_clock_now_us();
     signal(SIGPIPE, SIG_IGN);
     ts_log_open("soak", TS_LOG_TEXT, G_LOG_LEVEL_CRITICAL);
     uv_loop_init(&s.loop);
@@ -238,19 +241,19 @@
         fprintf(stderr, "soak: cannot set up\n");
         return TS_EXIT_USAGE;
     }
-    run_ms(&s, RECOVER_MS / 4);
+    run_loop(&s, RECOVERY_TIME_MS / 4);
     soak_callers_start(&s);
     if (!options->is_calm)
         soak_faults_start(&s);
-    run_ms(&s, (uint64_t)options->seconds * 1000);
+    run_loop(&s, (uint64_t)options->seconds * 1000);
     s.is_draining = true;
     check_recovery(&s);
     check_budgets(&s);
-    soak_check_limit(&s);
+    soak_check_quota(&s);
     stop_nodes(&s);
     print_report(&s);
     fclose(s.timeline);
-    return s.promises_broken == 0 ? TS_EXIT_OK : TS_EXIT_FAILURE;
+    return s.violations == 0 ? TS_EXIT_OK : TS_EXIT_FAILURE;
 }
 
 static int run(int argc, char **argv)
--- a/lab/soak_caller.c
+++ b/lab/soak_caller.c
@@ -9,14 +9,14 @@
 
 #define TICK_MS 10
 // Requests a tick over all gateways, in thousandths.
-#define RATE_PER_TICK 500
+#define REQUESTS_PER_1000_TICKS 500
 #define DEADLINE_MS 1500
 // An answer may come this long after its deadline before it counts as held.
-#define HELD_US (500 * TS_US_PER_MS)
+#define OVERDUE_US (500 * TS_US_PER_MS)
 // Configuration must be in force this long after the store took it.
 #define APPLY_US (3 * TS_US_PER_S)
 // Requests go on to a gateway that stops for this long, as its callers learn of it late.
-#define AFTER_TERM_US (1000 * TS_US_PER_MS)
+#define REQUESTS_AFTER_SIGTERM_US (1000 * TS_US_PER_MS)
 #define HEAD_MAX 65536
 #define BODY_MAX (1U << 20)
 
@@ -28,59 +28,59 @@
     ROUTE_MARKER
 } soak_route_t;
 
-typedef struct visit {
+typedef struct call {
     soak_t *s;
     soak_node_t *node;
-    unsigned life; // of the node when it was asked
+    unsigned incarnation; // of the node when it was asked
     soak_route_t route;
     uint64_t version; // of the marker route, or the newest when it was sent
     ts_time_us_t sent_us;
-    bool was_in_touch;
+    bool was_fault_free;
     char id[24];
     char *credentials; // header fields
     uv_tcp_t socket;
     uv_connect_t connecting;
     uv_timer_t timer;
     ts_http_message_t answer;
-    unsigned handles;
+    unsigned open_handles;
     bool is_connected;
-    bool is_over;
+    bool is_finished;
     soak_done_t on_done;
-    soak_fatal_t *fatal; // the request of which it is a try; NULL: it ends nothing
-} visit_t;
+    soak_fatal_request_t *fatal_request; // the request of which it is a try; NULL: it ends nothing
+} call_t;
 
 static void handle_closed(uv_handle_t *handle)
 {
-    visit_t *visit = handle->data;
-    if (--visit->handles > 0)
+    call_t *call = handle->data;
+    if (--call->open_handles > 0)
         return;
-    ts_http_message_clear(&visit->answer);
-    g_free(visit->credentials);
-    g_free(visit);
+    ts_http_message_clear(&call->answer);
+    g_free(call->credentials);
+    g_free(call);
 }
 
-static void end_visit(visit_t *visit, unsigned status)
+static void finish_call(call_t *call, unsigned status)
 {
-    soak_t *s = visit->s;
-    visit->is_over = true;
-    s->requests_open--;
-    ts_time_us_t span_us = ts_clock_now_us() - visit->sent_us;
-    s->answered[status / 100 < 6 ? status / 100 : 0]++;
+    soak_t *s = call->s;
+    call->is_finished = true;
+    s->requests_in_flight--;
+    ts_time_us_t span_us = ts_clock_now_us() - call->sent_us;
+    s->responses[status / 100 < 6 ? status / 100 : 0]++;
     if (status == 200)
         g_array_append_val(s->latencies, span_us);
-    if (visit->on_done != NULL)
-        visit->on_done(s, status);
-    uv_close((uv_handle_t *)&visit->socket, handle_closed);
-    uv_close((uv_handle_t *)&visit->timer, handle_closed);
+    if (call->on_done != NULL)
+        call->on_done(s, status);
+    uv_close((uv_handle_t *)&call->socket, handle_closed);
+    uv_close((uv_handle_t *)&call->timer, handle_closed);
 }
 
 // -- Checks
 
 // Whether promises with a bound in time held for the node from before the request until now.
-static bool was_in_touch(const visit_t *visit)
+static bool was_fault_free(const call_t *call)
 {
-    return visit->was_in_touch && visit->life == visit->node->life &&
-           soak_in_touch(visit->node, ts_clock_now_us());
+    return call->was_fault_free && call->incarnation == call->node->incarnation &&
+           soak_is_fault_free(call->node, ts_clock_now_us());
 }
 
 static const char *service_of(void *ctx, const char *instance_id)
@@ -90,7 +90,7 @@
 }
 
 // The parts must be those of one configuration that may have been in force.
-static bool is_one_version(const visit_t *visit, uint64_t services, unsigned missing)
+static bool is_one_version(const call_t *call, uint64_t services, unsigned missing)
 {
     uint64_t first = ((1ULL << SOAK_SHARDS) - 1);
     uint64_t second = first << SOAK_SHARDS;
@@ -99,119 +99,125 @@
     return is_subset && parts + missing == SOAK_SHARDS;
 }
 
-static void check_gathered(const visit_t *visit)
+static void check_gathered(const call_t *call)
 {
-    const ts_http_message_t *answer = &visit->answer;
+    const ts_http_message_t *answer = &call->answer;
     const char *signatures = ts_http_message_find(answer, NAME_PART_SIGNATURES);
     const char *missing = ts_http_message_find(answer, NAME_MISSING_PARTS);
-    soak_gathered_t gathered = {visit->id, signatures == NULL ? "" : signatures,
+    soak_gathered_t gathered = {call->id, signatures == NULL ? "" : signatures,
                                 missing == NULL ? 0 : (unsigned)atoi(missing), answer->body->str,
                                 answer->body->len};
     uint64_t services = 0;
-    const char *wrong = soak_check_gathered(&gathered, service_of, visit->s, &services);
-    if (wrong == NULL && !is_one_version(visit, services, gathered.missing))
+    const char *wrong = soak_check_gathered(&gathered, service_of, call->s, &services);
+    if (wrong == NULL && !is_one_version(call, services, gathered.missing))
         wrong = "parts that are not those of one version";
     if (wrong != NULL)
-        soak_broken(visit->s, "MIXED", "%s answered %s with %s", visit->node->name, visit->id,
-                    wrong);
+        soak_report_violation(call->s, "MIXED", "%s answered %s with %s", call->node->name,
+                              call->id, wrong);
 }
 
 // One searcher's answer, unchanged.
-static void check_forwarded(const visit_t *visit)
+static void check_forwarded(const call_t *call)
 {
-    const ts_http_message_t *answer = &visit->answer;
+    const ts_http_message_t *answer = &call->answer;
     const char *signature = ts_http_message_find(answer, NAME_SIGNATURE);
     char **words = g_strsplit(signature == NULL ? "" : signature, ".", 4);
-    const char *service = g_strv_length(words) == 4 && strcmp(words[3], visit->id) == 0
-                              ? service_of(visit->s, words[1])
+    const char *service = g_strv_length(words) == 4 && strcmp(words[3], call->id) == 0
+                              ? service_of(call->s, words[1])
                               : NULL;
     GString *wanted = g_string_new(NULL);
     if (service != NULL)
-        soak_compose_body(service, visit->id, wanted);
+        soak_compose_body(service, call->id, wanted);
     if (service == NULL || wanted->len != answer->body->len ||
         memcmp(wanted->str, answer->body->str, wanted->len) != 0)
-        soak_broken(visit->s, "MIXED", "%s answered %s with another's answer (%s)",
-                    visit->node->name, visit->id, signature == NULL ? "unsigned" : signature);
+        soak_report_violation(call->s, "MIXED", "%s answered %s with another's answer (%s)",
+                              call->node->name, call->id,
+                              signature == NULL ? "unsigned" : signature);
     g_string_free(wanted, TRUE);
     g_strfreev(words);
 }
 
-static bool is_promise(unsigned status)
+static bool is_refusal(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
 // A route that the newest configuration names, long enough for it to be in force.
-static void check_marker(const visit_t *visit, unsigned status)
+static void check_marker(const call_t *call, unsigned status)
 {
-    soak_t *s = visit->s;
-    bool is_newest = visit->version == s->version;
-    if (status == 404 && is_newest && visit->node->version_seen >= visit->version &&
-        visit->life == visit->node->life)
-        soak_broken(s, "REVERTED", "%s had version %lu and answers 404 to %s", visit->node->name,
-                    (unsigned long)visit->version, visit->id);
-    bool is_due = visit->sent_us > s->version_us + APPLY_US && is_newest;
-    if (status == 404 && is_due && was_in_touch(visit))
-        soak_broken(s, "CONFIG", "%s does not know version %lu after %lu ms", visit->node->name,
-                    (unsigned long)visit->version,
-                    (unsigned long)((visit->sent_us - s->version_us) / TS_US_PER_MS));
-    if (status != 404 && status != 0 && status != 503 && visit->life == visit->node->life)
-        visit->node->version_seen = MAX(visit->node->version_seen, visit->version);
+    soak_t *s = call->s;
+    bool is_newest = call->version == s->version;
+    if (status == 404 && is_newest && call->node->version_seen >= call->version &&
+        call->incarnation == call->node->incarnation)
+        soak_report_violation(s, "REVERTED", "%s had version %lu and answers 404 to %s",
+                              call->node->name, (unsigned long)call->version, call->id);
+    bool must_be_applied = call->sent_us > s->version_written_us + APPLY_US && is_newest;
+    if (status == 404 && must_be_applied && was_fault_free(call))
+        soak_report_violation(
+            s, "CONFIG", "%s does not know version %lu after %lu ms", call->node->name,
+            (unsigned long)call->version,
+            (unsigned long)((call->sent_us - s->version_written_us) / TS_US_PER_MS));
+    if (status != 404 && status != 0 && status != 503 &&
+        call->incarnation == call->node->incarnation)
+        call->node->version_seen = MAX(call->node->version_seen, call->version);
 }
 
-static void check_answer(const visit_t *visit)
+static void check_answer(const call_t *call)
 {
-    soak_t *s = visit->s;
-    unsigned status = visit->answer.parser.status_code;
-    soak_record_t *record = g_hash_table_lookup(s->records, visit->id);
-    if (is_promise(status)) {
+    soak_t *s = call->s;
+    unsigned status = call->answer.parser.status_code;
+    soak_request_record_t *record = g_hash_table_lookup(s->request_records, call->id);
+    if (is_refusal(status)) {
         record->was_refused = true;
         if (record->runs > 0 && !record->is_repeatable)
-            soak_broken(s, "REFUSED", "%s answered %s with %u though it ran", visit->node->name,
-                        visit->id, status);
-        bool is_held = strstr(visit->answer.body->str, "quarantined") != NULL;
-        if (is_held && visit->fatal == NULL)
-            soak_broken(s, "INNOCENT", "%s holds %s, which ends nothing", visit->node->name,
-                        visit->id);
-        bool has_time = ts_http_message_find(&visit->answer, NAME_RETRY_AFTER) != NULL;
-        if (!has_time && !is_held && status == 503)
-            soak_broken(s, "RETRY_AFTER", "%s refused %s without a time to come back",
-                        visit->node->name, visit->id);
+            soak_report_violation(s, "REFUSED", "%s answered %s with %u though it ran",
+                                  call->node->name, call->id, status);
+        bool is_quarantined = strstr(call->answer.body->str, "quarantined") != NULL;
+        if (is_quarantined && call->fatal_request == NULL)
+            soak_report_violation(s, "INNOCENT", "%s holds %s, which ends nothing",
+                                  call->node->name, call->id);
+        bool has_time = ts_http_message_find(&call->answer, NAME_RETRY_AFTER) != NULL;
+        if (!has_time && !is_quarantined && status == 503)
+            soak_report_violation(s, "RETRY_AFTER", "%s refused %s without a time to come back",
+                                  call->node->name, call->id);
     }
-    if (visit->route == ROUTE_MARKER)
-        check_marker(visit, status);
+    if (call->route == ROUTE_MARKER)
+        check_marker(call, status);
     if (status == 401 || status == 429)
-        soak_check_turned_away(s, record, visit->id, &visit->answer, was_in_touch(visit));
-    if (visit->route != ROUTE_MARKER && status >= 400 && status < 500 && status != 401 &&
-        !is_promise(status))
-        soak_broken(s, "DENIED", "%s answered %s with %u", visit->node->name, visit->id, status);
+        soak_check_rejection(s, record, call->id, &call->answer, was_fault_free(call));
+    if (call->route != ROUTE_MARKER && status >= 400 && status < 500 && status != 401 &&
+        !is_refusal(status))
+        soak_report_violation(s, "DENIED", "%s answered %s with %u", call->node->name, call->id,
+                              status);
     if (status < 200 || status > 299)
         return;
-    if (visit->route == ROUTE_ALL)
-        check_gathered(visit);
+    if (call->route == ROUTE_ALL)
+        check_gathered(call);
     else
-        check_forwarded(visit);
+        check_forwarded(call);
 }
 
 // The connection ended without an answer.
-static void check_lost(const visit_t *visit)
+static void check_closed(const call_t *call)
 {
-    soak_node_t *node = visit->node;
-    bool is_cut_by_stop =
-        node->is_stopping && visit->life == node->life && visit->was_in_touch && node->faults == 0;
-    if (visit->is_connected && (was_in_touch(visit) || is_cut_by_stop))
-        soak_broken(visit->s, "LOST", "%s closed %s without an answer after %lu ms%s", node->name,
-                    visit->id, (unsigned long)((ts_clock_now_us() - visit->sent_us) / TS_US_PER_MS),
-                    is_cut_by_stop ? " while it stopped" : "");
+    soak_node_t *node = call->node;
+    bool is_cut_by_stop = node->is_stopping && call->incarnation == node->incarnation &&
+                          call->was_fault_free && node->active_faults == 0;
+    if (call->is_connected && (was_fault_free(call) || is_cut_by_stop))
+        soak_report_violation(call->s, "LOST", "%s closed %s without an answer after %lu ms%s",
+                              node->name, call->id,
+                              (unsigned long)((ts_clock_now_us() - call->sent_us) / TS_US_PER_MS),
+                              is_cut_by_stop ? " while it stopped" : "");
 }
 
-static void check_held(uv_timer_t *timer)
+static void check_overdue(uv_timer_t *timer)
 {
-    visit_t *visit = timer->data;
-    if (was_in_touch(visit))
-        soak_broken(visit->s, "HELD", "%s has not answered %s half a second after its deadline",
-                    visit->node->name, visit->id);
-    end_visit(visit, 0);
+    call_t *call = timer->data;
+    if (was_fault_free(call))
+        soak_report_violation(call->s, "HELD",
+                              "%s has not answered %s half a second after its deadline",
+                              call->node->name, call->id);
+    finish_call(call, 0);
 }
 
 // -- Requests
@@ -224,55 +230,55 @@
 
 static void read_bytes(uv_stream_t *stream, ssize_t length, const uv_buf_t *buffer)
 {
-    visit_t *visit = stream->data;
-    if (visit->is_over)
+    call_t *call = stream->data;
+    if (call->is_finished)
         return;
     if (length > 0)
-        (void)ts_http_message_feed(&visit->answer, buffer->base, (size_t)length);
-    if (visit->answer.error != TS_OK) {
-        soak_broken(visit->s, "MIXED", "%s answered %s with bytes that are no answer",
-                    visit->node->name, visit->id);
-        end_visit(visit, 0);
-    } else if (visit->answer.is_complete) {
-        check_answer(visit);
-        end_visit(visit, visit->answer.parser.status_code);
+        (void)ts_http_message_feed(&call->answer, buffer->base, (size_t)length);
+    if (call->answer.error != TS_OK) {
+        soak_report_violation(call->s, "MIXED", "%s answered %s with bytes that are no answer",
+                              call->node->name, call->id);
+        finish_call(call, 0);
+    } else if (call->answer.is_complete) {
+        check_answer(call);
+        finish_call(call, call->answer.parser.status_code);
     } else if (length < 0) {
-        check_lost(visit);
-        end_visit(visit, 0);
+        check_closed(call);
+        finish_call(call, 0);
     }
 }
 
-static char *compose_request(const visit_t *visit)
+static char *compose_request(const call_t *call)
 {
     static const char *const targets[] = {"/forward/x", "/once/x", "/all/x", "/placed/x"};
-    char *marker = g_strdup_printf("/v%lu/x", (unsigned long)visit->version);
-    const char *target = visit->route == ROUTE_MARKER ? marker : targets[visit->route];
-    target = visit->fatal != NULL ? visit->fatal->target : target;
+    char *marker = g_strdup_printf("/v%lu/x", (unsigned long)call->version);
+    const char *target = call->route == ROUTE_MARKER ? marker : targets[call->route];
+    target = call->fatal_request != NULL ? call->fatal_request->target : target;
     char *text = g_strdup_printf("GET %s HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\n%s: %d\r\n%s\r\n",
-                                 target, NAME_REQUEST_ID, visit->id, NAME_DEADLINE_MS, DEADLINE_MS,
-                                 visit->credentials);
+                                 target, NAME_REQUEST_ID, call->id, NAME_DEADLINE_MS, DEADLINE_MS,
+                                 call->credentials);
     g_free(marker);
     return text;
 }
 
-static void connected(uv_connect_t *request, int status)
+static void on_connected(uv_connect_t *request, int status)
 {
-    visit_t *visit = request->data;
-    if (visit->is_over)
+    call_t *call = request->data;
+    if (call->is_finished)
         return;
     if (status != 0) {
-        end_visit(visit, 0);
+        finish_call(call, 0);
         return;
     }
-    char *text = compose_request(visit);
+    char *text = compose_request(call);
     uv_buf_t buffer = uv_buf_init(text, (unsigned)strlen(text));
-    visit->is_connected = true;
-    uv_read_start((uv_stream_t *)&visit->socket, allocate, read_bytes);
-    (void)uv_try_write((uv_stream_t *)&visit->socket, &buffer, 1);
+    call->is_connected = true;
+    uv_read_start((uv_stream_t *)&call->socket, allocate, read_bytes);
+    (void)uv_try_write((uv_stream_t *)&call->socket, &buffer, 1);
     g_free(text);
 }
 
-static soak_route_t draw_route(soak_t *s)
+static soak_route_t choose_route(soak_t *s)
 {
     gint32 at = g_rand_int_range(s->random, 0, 100);
     if (at < 25)
@@ -284,87 +290,88 @@
     return at < 85 ? ROUTE_ALL : ROUTE_MARKER;
 }
 
-static void note_budget(visit_t *visit, unsigned service)
+static void record_budget_request(call_t *call, unsigned service)
 {
-    g_array_append_val(visit->s->budgets[service].requests, visit->sent_us);
+    g_array_append_val(call->s->budgets[service].requests, call->sent_us);
 }
 
 // Which services the request is for depends on the version in force; it counts at each that may be.
-static void note_request(visit_t *visit)
+static void record_request(call_t *call)
 {
-    soak_t *s = visit->s;
-    soak_record_t *record = g_new0(soak_record_t, 1);
-    record->node = visit->node;
-    record->is_repeatable = visit->route != ROUTE_ONCE && !s->options.is_planted;
-    record->is_placed = visit->route == ROUTE_PLACED;
-    visit->credentials = soak_draw_credentials(s, record, visit->route == ROUTE_MARKER,
-                                               visit->on_done != NULL || visit->fatal != NULL);
-    record->fatal = visit->fatal;
-    g_hash_table_insert(s->records, g_strdup(visit->id), record);
-    if (visit->route == ROUTE_ALL) {
+    soak_t *s = call->s;
+    soak_request_record_t *record = g_new0(soak_request_record_t, 1);
+    record->node = call->node;
+    record->is_repeatable = call->route != ROUTE_ONCE && !s->options.is_planted;
+    record->is_placed = call->route == ROUTE_PLACED;
+    call->credentials =
+        soak_choose_credentials(s, record, call->route == ROUTE_MARKER,
+                                call->on_done != NULL || call->fatal_request != NULL);
+    record->fatal_request = call->fatal_request;
+    g_hash_table_insert(s->request_records, g_strdup(call->id), record);
+    if (call->route == ROUTE_ALL) {
         unsigned first = soak_first_shard(s->version);
         for (unsigned i = 0; i < SOAK_SHARDS; i++)
-            note_budget(visit, first + i);
+            record_budget_request(call, first + i);
     } else {
-        note_budget(visit, soak_forward_service(s->version));
+        record_budget_request(call, soak_forward_service(s->version));
     }
 }
 
-static visit_t *create_visit(soak_t *s, soak_node_t *node, soak_route_t route)
+static call_t *create_call(soak_t *s, soak_node_t *node, soak_route_t route)
 {
-    visit_t *visit = g_new0(visit_t, 1);
-    visit->s = s;
-    visit->node = node;
-    visit->life = node->life;
-    visit->route = route;
-    visit->version = s->version;
-    visit->sent_us = ts_clock_now_us();
-    visit->was_in_touch = soak_in_touch(node, visit->sent_us);
-    visit->handles = 2;
-    g_snprintf(visit->id, sizeof(visit->id), "r%u", ++s->asked);
-    return visit;
+    call_t *call = g_new0(call_t, 1);
+    call->s = s;
+    call->node = node;
+    call->incarnation = node->incarnation;
+    call->route = route;
+    call->version = s->version;
+    call->sent_us = ts_clock_now_us();
+    call->was_fault_free = soak_is_fault_free(node, call->sent_us);
+    call->open_handles = 2;
+    g_snprintf(call->id, sizeof(call->id), "r%u", ++s->requests_sent);
+    return call;
 }
 
-static void send_visit(visit_t *visit)
+static void send_call(call_t *call)
 {
-    soak_t *s = visit->s;
-    const soak_node_t *node = visit->node;
+    soak_t *s = call->s;
+    const soak_node_t *node = call->node;
     struct sockaddr_in address;
-    s->requests_open++;
-    ts_http_message_init(&visit->answer, false, HEAD_MAX, BODY_MAX);
-    note_request(visit);
-    uv_tcp_init(&s->loop, &visit->socket);
-    uv_timer_init(&s->loop, &visit->timer);
-    visit->socket.data = visit;
-    visit->timer.data = visit;
-    visit->connecting.data = visit;
+    s->requests_in_flight++;
+    ts_http_message_init(&call->answer, false, HEAD_MAX, BODY_MAX);
+    record_request(call);
+    uv_tcp_init(&s->loop, &call->socket);
+    uv_timer_init(&s->loop, &call->timer);
+    call->socket.data = call;
+    call->timer.data = call;
+    call->connecting.data = call;
     uv_ip4_addr(node->ip, (int)node->callers_port, &address);
-    uv_timer_start(&visit->timer, check_held, DEADLINE_MS + HELD_US / TS_US_PER_MS, 0);
-    if (uv_tcp_connect(&visit->connecting, &visit->socket, (const struct sockaddr *)&address,
-                       connected) != 0)
-        end_visit(visit, 0);
+    uv_timer_start(&call->timer, check_overdue, DEADLINE_MS + OVERDUE_US / TS_US_PER_MS, 0);
+    if (uv_tcp_connect(&call->connecting, &call->socket, (const struct sockaddr *)&address,
+                       on_connected) != 0)
+        finish_call(call, 0);
 }
 
-void soak_ask(soak_t *s, soak_node_t *node, soak_done_t on_done)
+void soak_send_request(soak_t *s, soak_node_t *node, soak_done_t on_done)
 {
-    visit_t *visit = create_visit(s, node, on_done == NULL ? draw_route(s) : ROUTE_ALL);
-    visit->on_done = on_done;
-    send_visit(visit);
+    call_t *call = create_call(s, node, on_done == NULL ? choose_route(s) : ROUTE_ALL);
+    call->on_done = on_done;
+    send_call(call);
 }
 
-void soak_ask_fatal(soak_t *s, soak_node_t *node, soak_fatal_t *fatal)
+void soak_send_fatal_request(soak_t *s, soak_node_t *node, soak_fatal_request_t *fatal)
 {
     bool is_gather = g_str_has_prefix(fatal->target, "/all/");
-    visit_t *visit = create_visit(s, node, is_gather ? ROUTE_ALL : ROUTE_FORWARD);
-    visit->fatal = fatal;
-    fatal->tries++;
-    send_visit(visit);
+    call_t *call = create_call(s, node, is_gather ? ROUTE_ALL : ROUTE_FORWARD);
+    call->fatal_request = fatal;
+    fatal->attempts++;
+    send_call(call);
 }
 
-bool soak_takes_requests(const soak_node_t *node)
+bool soak_accepts_requests(const soak_node_t *node)
 {
     return node->is_running &&
-           (!node->is_stopping || ts_clock_now_us() - node->term_us < AFTER_TERM_US);
+           (!node->is_stopping || ts_clock_now_us() - node->sigterm_us < REQUESTS_AFTER_SIGTERM_US);
 }
 
 static void tick(uv_timer_t *timer)
@@ -375,8 +382,9 @@
         return;
     }
     soak_node_t *node = &s->nodes[g_rand_int_range(s->random, 0, (gint32)s->options.nodes)];
-    if (g_rand_int_range(s->random, 0, 1000) < RATE_PER_TICK && soak_takes_requests(node))
-        soak_ask(s, node, NULL);
+    if (g_rand_int_range(s->random, 0, 1000) < REQUESTS_PER_1000_TICKS &&
+        soak_accepts_requests(node))
+        soak_send_request(s, node, NULL);
 }
 
 void soak_callers_start(soak_t *s)
--- a/lab/soak_check.c
+++ b/lab/soak_check.c
@@ -9,7 +9,7 @@
 void soak_compose_body(const char *service, const char *request_id, GString *body)
 {
     uint64_t seed = ts_hash_mix(ts_hash_text(service), ts_hash_text(request_id));
-    for (uint64_t i = 0; i < SOAK_RECORDS; i++) {
+    for (uint64_t i = 0; i < SOAK_RECORDS_PER_ANSWER; i++) {
         uint64_t halves[2] = {ts_hash_mix(seed, i), ts_hash_mix(i + 1, seed)};
         // Some records are equal in different services: every equal one counts.
         if (i == 0)
@@ -18,21 +18,21 @@
     }
 }
 
-static gint compare_falling(gconstpointer left, gconstpointer right)
+static gint compare_descending(gconstpointer left, gconstpointer right)
 {
     return memcmp(right, left, TS_RECORD_BYTES);
 }
 
-static bool is_top(const GString *records, const char *body, size_t length)
+static bool has_top_records(const GString *records, const char *body, size_t length)
 {
     size_t n = records->len / TS_RECORD_BYTES;
-    size_t wanted = MIN(n, SOAK_TOP) * TS_RECORD_BYTES;
-    qsort(records->str, n, TS_RECORD_BYTES, compare_falling);
+    size_t wanted = MIN(n, SOAK_TOP_RECORDS) * TS_RECORD_BYTES;
+    qsort(records->str, n, TS_RECORD_BYTES, compare_descending);
     return length == wanted && memcmp(records->str, body, wanted) == 0;
 }
 
 // "sig.ID.RUN.REQUEST" -> the instance's id, if it is for this request.
-static char *read_signature(const char *text, const char *request_id)
+static char *parse_signature(const char *text, const char *request_id)
 {
     char **words = g_strsplit(text, ".", 4);
     bool is_right = g_strv_length(words) == 4 && strcmp(words[0], "sig") == 0 &&
@@ -47,7 +47,7 @@
                             soak_service_of_t service_of, void *ctx, uint64_t *services,
                             GString *records)
 {
-    char *id = read_signature(signature, answer->request_id);
+    char *id = parse_signature(signature, answer->request_id);
     if (id == NULL)
         return "a signature for another request";
     const char *service = service_of(ctx, id);
@@ -71,7 +71,7 @@
     *services = 0;
     for (guint i = 0; signatures[i] != NULL && wrong == NULL; i++)
         wrong = add_part(g_strstrip(signatures[i]), answer, service_of, ctx, services, records);
-    if (wrong == NULL && !is_top(records, answer->body, answer->body_length))
+    if (wrong == NULL && !has_top_records(records, answer->body, answer->body_length))
         wrong = "records that are not the greatest of its parts";
     g_strfreev(signatures);
     g_string_free(records, TRUE);
@@ -91,21 +91,22 @@
 double soak_budget_excess(const soak_budget_log_t *log, ts_time_us_t window_us, double ratio,
                           double slack)
 {
-    double worst = -slack;
-    for (guint i = 0; i < log->extras->len; i++) {
-        ts_time_us_t begin_us = g_array_index(log->extras, ts_time_us_t, i);
+    double max_excess = -slack;
+    for (guint i = 0; i < log->extra_arrivals->len; i++) {
+        ts_time_us_t begin_us = g_array_index(log->extra_arrivals, ts_time_us_t, i);
         ts_time_us_t end_us = begin_us + window_us;
         unsigned asked = count_between(log->requests, begin_us, end_us);
         asked = MAX(asked, count_between(log->requests, begin_us - window_us, begin_us));
         asked = MAX(asked,
                     count_between(log->requests, begin_us - window_us / 2, end_us - window_us / 2));
-        double excess = count_between(log->extras, begin_us, end_us) - ratio * asked - slack;
-        worst = MAX(worst, excess);
+        double excess =
+            count_between(log->extra_arrivals, begin_us, end_us) - ratio * asked - slack;
+        max_excess = MAX(max_excess, excess);
     }
-    return worst;
+    return max_excess;
 }
 
-unsigned soak_most_within(const GArray *times, ts_time_us_t window_us)
+unsigned soak_max_within(const GArray *times, ts_time_us_t window_us)
 {
     unsigned most = 0;
     guint begin = 0;
--- a/lab/soak_check.h
+++ b/lab/soak_check.h
@@ -8,8 +8,8 @@
 
 #include "tealspar/clock.h"
 
-#define SOAK_RECORDS 8 // in each searcher's answer
-#define SOAK_TOP 5     // of them a gathered answer brings
+#define SOAK_RECORDS_PER_ANSWER 8 // in each searcher's answer
+#define SOAK_TOP_RECORDS 5        // of them a gathered answer brings
 
 /** The records that a service holds for a request, in no order; the same at every replica. */
 void soak_compose_body(const char *service, const char *request_id, GString *body);
@@ -34,8 +34,8 @@
 
 // When requests for a service were sent by callers, and when it got arrivals beyond the first.
 typedef struct soak_budget_log {
-    GArray *requests; // of ts_time_us_t, rising
-    GArray *extras;   // of ts_time_us_t, rising
+    GArray *requests;       // of ts_time_us_t, rising
+    GArray *extra_arrivals; // of ts_time_us_t, rising
 } soak_budget_log_t;
 
 /**
@@ -47,7 +47,7 @@
                           double slack);
 
 /** The most of the times (of ts_time_us_t, rising) that lie within some window. */
-unsigned soak_most_within(const GArray *times, ts_time_us_t window_us);
+unsigned soak_max_within(const GArray *times, ts_time_us_t window_us);
 
 /** How many of the arrivals (of ts_time_us_t, rising) came in the last `window_us`. */
 unsigned soak_arrivals_within(const GArray *arrivals, ts_time_us_t window_us);
--- a/lab/soak_faults.c
+++ b/lab/soak_faults.c
@@ -6,19 +6,19 @@
 
 #define GAP_MIN_MS 150
 #define GAP_MAX_MS 1500
-#define LAST_MIN_MS 200
-#define LAST_MAX_MS 4000
-#define DOWN_MIN_MS 100
-#define DOWN_MAX_MS 1500
+#define DURATION_MIN_MS 200
+#define DURATION_MAX_MS 4000
+#define DOWNTIME_MIN_MS 100
+#define DOWNTIME_MAX_MS 1500
 #define DELAY_MAX_MS 400
 #define SKEW_MAX_MS 20000
 // At the most so many gateways are down, paused or stopping by faults on single ones.
-#define NODES_HIT_MAX 2
+#define UNAVAILABLE_NODES_MAX 2
 #define STOP_CHECK_MS 100
 // An evacuation is in force on all gateways three seconds after it began.
-#define EVACUATION_LONGER_MS 4000
+#define EVACUATION_EXTRA_MS 4000
 // A fatal request comes for longer than it may take until it is known everywhere.
-#define FATAL_LONGER_MS 8000
+#define FATAL_REQUEST_EXTRA_MS 8000
 
 typedef struct fault fault_t;
 
@@ -27,7 +27,7 @@
     unsigned weight;
     bool (*begin)(fault_t *fault); // false: there is nothing it could hit now
     void (*end)(fault_t *fault);   // NULL: it is over at once
-    unsigned longer_ms;            // it lasts so much longer than others
+    unsigned extra_ms;             // it lasts so much longer than others
 } fault_kind_t;
 
 struct fault {
@@ -39,14 +39,14 @@
     uv_timer_t timer;
 };
 
-static gint32 draw(soak_t *s, gint32 begin, gint32 end)
+static gint32 random_between(soak_t *s, gint32 begin, gint32 end)
 {
     return g_rand_int_range(s->random, begin, end);
 }
 
 // -- Gateways
 
-static unsigned nodes_hit(const soak_t *s)
+static unsigned count_unavailable_nodes(const soak_t *s)
 {
     unsigned n = 0;
     for (unsigned i = 0; i < s->options.nodes; i++) {
@@ -59,9 +59,9 @@
 static bool choose_node(fault_t *fault)
 {
     soak_t *s = fault->s;
-    soak_node_t *node = &s->nodes[draw(s, 0, (gint32)s->options.nodes)];
-    bool is_whole = node->is_running && !node->is_paused && !node->is_stopping;
-    if (!is_whole || nodes_hit(s) >= NODES_HIT_MAX)
+    soak_node_t *node = &s->nodes[random_between(s, 0, (gint32)s->options.nodes)];
+    bool is_available = node->is_running && !node->is_paused && !node->is_stopping;
+    if (!is_available || count_unavailable_nodes(s) >= UNAVAILABLE_NODES_MAX)
         return false;
     fault->node = node;
     return true;
@@ -72,7 +72,7 @@
     if (!choose_node(fault))
         return false;
     fault->node->is_paused = true;
-    soak_touch(fault->node, 1);
+    soak_count_node_fault(fault->node, 1);
     soak_node_signal(fault->node, SIGSTOP);
     return true;
 }
@@ -81,14 +81,14 @@
 {
     soak_node_signal(fault->node, SIGCONT);
     fault->node->is_paused = false;
-    soak_touch(fault->node, -1);
+    soak_count_node_fault(fault->node, -1);
 }
 
 static bool kill_node(fault_t *fault)
 {
     if (!choose_node(fault))
         return false;
-    soak_touch(fault->node, 1);
+    soak_count_node_fault(fault->node, 1);
     soak_node_signal(fault->node, SIGKILL);
     return true;
 }
@@ -96,24 +96,24 @@
 static void restart_node(fault_t *fault)
 {
     soak_node_start(fault->node);
-    soak_touch(fault->node, -1);
+    soak_count_node_fault(fault->node, -1);
 }
 
 static bool skew_clock(fault_t *fault)
 {
     if (fault->s->options.skewed_program == NULL || !kill_node(fault))
         return false;
-    fault->node->clock_skew_ms = draw(fault->s, -SKEW_MAX_MS, SKEW_MAX_MS);
+    fault->node->clock_skew_ms = random_between(fault->s, -SKEW_MAX_MS, SKEW_MAX_MS);
     return true;
 }
 
 static bool kill_all(fault_t *fault)
 {
     soak_t *s = fault->s;
-    if (nodes_hit(s) > 0)
+    if (count_unavailable_nodes(s) > 0)
         return false;
     for (unsigned i = 0; i < s->options.nodes; i++) {
-        soak_touch(&s->nodes[i], 1);
+        soak_count_node_fault(&s->nodes[i], 1);
         soak_node_signal(&s->nodes[i], SIGKILL);
     }
     return true;
@@ -124,7 +124,7 @@
     soak_t *s = fault->s;
     for (unsigned i = 0; i < s->options.nodes; i++) {
         soak_node_start(&s->nodes[i]);
-        soak_touch(&s->nodes[i], -1);
+        soak_count_node_fault(&s->nodes[i], -1);
     }
 }
 
@@ -137,11 +137,11 @@
     return true;
 }
 
-static void start_again(fault_t *fault);
+static void restart_when_stopped(fault_t *fault);
 
-static void wait_for_stop(uv_timer_t *timer)
+static void check_stopped(uv_timer_t *timer)
 {
-    start_again(timer->data);
+    restart_when_stopped(timer->data);
 }
 
 static void free_fault(uv_handle_t *handle)
@@ -149,17 +149,17 @@
     g_free(handle->data);
 }
 
-static void start_again(fault_t *fault)
+static void restart_when_stopped(fault_t *fault)
 {
     if (fault->node->is_running) {
-        uv_timer_start(&fault->timer, wait_for_stop, STOP_CHECK_MS, 0);
+        uv_timer_start(&fault->timer, check_stopped, STOP_CHECK_MS, 0);
         return;
     }
     soak_node_start(fault->node);
     uv_close((uv_handle_t *)&fault->timer, free_fault);
 }
 
-static bool hang_up(fault_t *fault)
+static bool send_sighup(fault_t *fault)
 {
     if (!choose_node(fault))
         return false;
@@ -169,73 +169,74 @@
 
 // -- Links
 
-static bool spoil_link(fault_t *fault, soak_link_t *link)
+static bool disturb_link(fault_t *fault, soak_link_t *link)
 {
     static const lab_link_mode_t modes[] = {LAB_LINK_PASS, LAB_LINK_SILENT, LAB_LINK_RESET,
-                                            LAB_LINK_HALF_OPEN, LAB_LINK_DEAF};
+                                            LAB_LINK_HALF_OPEN, LAB_LINK_HOLD_REPLIES};
     static const char *const names[] = {"delay", "silent", "reset", "half open", "deaf"};
-    gint32 mode = draw(fault->s, 0, G_N_ELEMENTS(modes));
+    gint32 mode = random_between(fault->s, 0, G_N_ELEMENTS(modes));
     if (link->mode != LAB_LINK_PASS || link->delay_ms > 0)
         return false;
     fault->link = link;
-    soak_say(fault->s, "link %s: %s", link->address, names[mode]);
-    soak_set_link(link, modes[mode], mode == 0 ? draw(fault->s, 5, DELAY_MAX_MS) : 0);
+    soak_log(fault->s, "link %s: %s", link->address, names[mode]);
+    soak_set_link_mode(link, modes[mode],
+                       mode == 0 ? random_between(fault->s, 5, DELAY_MAX_MS) : 0);
     return true;
 }
 
-static void mend_link(fault_t *fault)
+static void restore_link(fault_t *fault)
 {
-    soak_set_link(fault->link, LAB_LINK_PASS, 0);
-    soak_say(fault->s, "link %s: well", fault->link->address);
+    soak_set_link_mode(fault->link, LAB_LINK_PASS, 0);
+    soak_log(fault->s, "link %s: well", fault->link->address);
 }
 
-static bool spoil_node_link(fault_t *fault)
+static bool disturb_node_link(fault_t *fault)
 {
     soak_t *s = fault->s;
-    soak_node_t *node = &s->nodes[draw(s, 0, (gint32)s->options.nodes)];
-    if (!spoil_link(fault, draw(s, 0, 2) == 0 ? &node->store : &node->peers))
+    soak_node_t *node = &s->nodes[random_between(s, 0, (gint32)s->options.nodes)];
+    if (!disturb_link(fault, random_between(s, 0, 2) == 0 ? &node->store : &node->peers))
         return false;
     fault->node = node;
-    soak_touch(node, 1);
+    soak_count_node_fault(node, 1);
     return true;
 }
 
-static void mend_node_link(fault_t *fault)
+static void restore_node_link(fault_t *fault)
 {
-    mend_link(fault);
-    soak_touch(fault->node, -1);
+    restore_link(fault);
+    soak_count_node_fault(fault->node, -1);
 }
 
 static soak_searcher_t *choose_searcher(soak_t *s)
 {
-    unsigned service = (unsigned)draw(s, 0, SOAK_SERVICES);
-    return s->searchers[service][draw(s, 0, SOAK_REPLICAS)];
+    unsigned service = (unsigned)random_between(s, 0, SOAK_SERVICES);
+    return s->searchers[service][random_between(s, 0, SOAK_REPLICAS)];
 }
 
-static bool spoil_searcher_link(fault_t *fault)
+static bool disturb_searcher_link(fault_t *fault)
 {
-    return spoil_link(fault, &choose_searcher(fault->s)->link);
+    return disturb_link(fault, &choose_searcher(fault->s)->link);
 }
 
 /*
  * Connections go silent for good, new ones work: those of one gateway to the service and from its
  * peers, or those to a searcher.
  */
-static bool swallow_connections(fault_t *fault)
+static bool blackhole_connections(fault_t *fault)
 {
     soak_t *s = fault->s;
-    soak_node_t *node = &s->nodes[draw(s, 0, (gint32)s->options.nodes)];
-    if (draw(s, 0, 2) == 0) {
-        soak_searcher_t *own = choose_searcher(s);
-        lab_link_swallow(own->link.link);
-        soak_say(s, "connections to %s go silent", own->searcher->id);
+    soak_node_t *node = &s->nodes[random_between(s, 0, (gint32)s->options.nodes)];
+    if (random_between(s, 0, 2) == 0) {
+        soak_searcher_t *searcher = choose_searcher(s);
+        lab_link_blackhole(searcher->link.link);
+        soak_log(s, "connections to %s go silent", searcher->standin->id);
         return true;
     }
-    lab_link_swallow(node->store.link);
-    lab_link_swallow(node->peers.link);
+    lab_link_blackhole(node->store.link);
+    lab_link_blackhole(node->peers.link);
     for (unsigned i = 0; i < s->options.nodes; i++)
-        soak_touch(&s->nodes[i], 0); // peers have lost what they sent to it
-    soak_say(s, "connections of %s go silent", node->name);
+        soak_count_node_fault(&s->nodes[i], 0); // peers have lost what they sent to it
+    soak_log(s, "connections of %s go silent", node->name);
     return true;
 }
 
@@ -243,103 +244,106 @@
 
 static bool misbehave(fault_t *fault)
 {
-    static const lab_behaviour_t behaviours[] = {
-        LAB_SHEDS,    LAB_FAILS,          LAB_HANGS,         LAB_BREAKS_OFF,
-        LAB_UNFRAMED, LAB_UNFRAMED_RESET, LAB_ANSWERS_TWICE, LAB_FOREIGN_ID,
-        LAB_UNSIGNED, LAB_ENCODED,        LAB_GARBAGE,       LAB_CLOSES_AFTER};
-    soak_searcher_t *own = choose_searcher(fault->s);
-    if (own->is_faulty)
+    static const lab_searcher_behaviour_t behaviours[] = {
+        LAB_SHEDS,         LAB_FAILS,           LAB_HANGS,
+        LAB_TRUNCATES,     LAB_CLOSE_DELIMITED, LAB_CLOSE_DELIMITED_RESET,
+        LAB_ANSWERS_TWICE, LAB_WRONG_ID,        LAB_UNSIGNED,
+        LAB_ENCODED,       LAB_MALFORMED,       LAB_CLOSES_AFTER};
+    soak_searcher_t *searcher = choose_searcher(fault->s);
+    if (searcher->is_faulty)
         return false;
-    own->is_faulty = true;
-    own->searcher->behaviour = behaviours[draw(fault->s, 0, G_N_ELEMENTS(behaviours))];
-    soak_say(fault->s, "%s behaves by %d", own->searcher->id, own->searcher->behaviour);
-    fault->searcher = own;
+    searcher->is_faulty = true;
+    searcher->standin->behaviour =
+        behaviours[random_between(fault->s, 0, G_N_ELEMENTS(behaviours))];
+    soak_log(fault->s, "%s behaves by %d", searcher->standin->id, searcher->standin->behaviour);
+    fault->searcher = searcher;
     return true;
 }
 
 static bool slow_down(fault_t *fault)
 {
-    soak_searcher_t *own = choose_searcher(fault->s);
-    if (own->is_faulty)
+    soak_searcher_t *searcher = choose_searcher(fault->s);
+    if (searcher->is_faulty)
         return false;
-    own->is_faulty = true;
-    own->searcher->delay_ms = (unsigned)draw(fault->s, 30, DELAY_MAX_MS);
-    own->searcher->forgets_ms = draw(fault->s, 0, 2) == 0 ? 200 : 0;
-    own->searcher->connections_max = draw(fault->s, 0, 2) == 0 ? 4 : 0;
-    soak_say(fault->s, "%s takes %u ms", own->searcher->id, own->searcher->delay_ms);
-    fault->searcher = own;
+    searcher->is_faulty = true;
+    searcher->standin->delay_ms = (unsigned)random_between(fault->s, 30, DELAY_MAX_MS);
+    searcher->standin->idle_reset_ms = random_between(fault->s, 0, 2) == 0 ? 200 : 0;
+    searcher->standin->connections_max = random_between(fault->s, 0, 2) == 0 ? 4 : 0;
+    soak_log(fault->s, "%s takes %u ms", searcher->standin->id, searcher->standin->delay_ms);
+    fault->searcher = searcher;
     return true;
 }
 
-static void cure_searcher(fault_t *fault)
+static void restore_searcher(fault_t *fault)
 {
-    lab_searcher_t *searcher = fault->searcher->searcher;
-    searcher->behaviour = LAB_ANSWERS;
-    searcher->delay_ms = 5;
-    searcher->forgets_ms = 0;
-    searcher->connections_max = 0;
+    lab_searcher_t *standin = fault->searcher->standin;
+    standin->behaviour = LAB_ANSWERS;
+    standin->delay_ms = 5;
+    standin->idle_reset_ms = 0;
+    standin->connections_max = 0;
     fault->searcher->is_faulty = false;
-    soak_say(fault->s, "%s is well", searcher->id);
+    soak_log(fault->s, "%s is well", standin->id);
 }
 
-static bool end_searcher(fault_t *fault)
+static bool crash_searcher(fault_t *fault)
 {
-    lab_searcher_t *searcher = choose_searcher(fault->s)->searcher;
-    if (searcher->has_ended)
+    lab_searcher_t *standin = choose_searcher(fault->s)->standin;
+    if (standin->has_crashed)
         return false;
-    lab_searcher_end(searcher, NULL);
+    lab_searcher_crash(standin, NULL);
     return true;
 }
 
-static bool write_foreign(fault_t *fault)
+static bool write_foreign_entry(fault_t *fault)
 {
-    soak_write_foreign(fault->s);
+    soak_write_foreign_entry(fault->s);
     return true;
 }
 
-static bool begin_fatal(fault_t *fault)
+static bool begin_fatal_request(fault_t *fault)
 {
-    return soak_begin_fatal(fault->s);
+    return soak_begin_fatal_request(fault->s);
 }
 
-static void end_fatal(fault_t *fault)
+static void end_fatal_request(fault_t *fault)
 {
-    soak_end_fatal(fault->s);
+    soak_end_fatal_request(fault->s);
 }
 
-static bool replace(fault_t *fault)
+static bool replace_searcher(fault_t *fault)
 {
     soak_t *s = fault->s;
-    soak_replace_searcher(s, (unsigned)draw(s, 0, SOAK_SERVICES),
-                          (unsigned)draw(s, 0, SOAK_REPLICAS));
+    soak_replace_searcher(s, (unsigned)random_between(s, 0, SOAK_SERVICES),
+                          (unsigned)random_between(s, 0, SOAK_REPLICAS));
     return true;
 }
 
 // -- Store and configuration
 
-void soak_touch_store(soak_t *s, int faults)
+void soak_count_store_fault(soak_t *s, int faults)
 {
     s->store_faults = (unsigned)((int)s->store_faults + faults);
-    s->store_touched_us = ts_clock_now_us();
+    s->store_fault_changed_us = ts_clock_now_us();
 }
 
-static bool spoil_store(fault_t *fault)
+static bool disturb_store(fault_t *fault)
 {
-    static const lab_store_mode_t modes[] = {LAB_STORE_BUSY, LAB_STORE_THROTTLED, LAB_STORE_SILENT};
-    gint32 mode = draw(fault->s, 0, G_N_ELEMENTS(modes));
+    static const lab_store_mode_t modes[] = {LAB_STORE_UNAVAILABLE, LAB_STORE_THROTTLED,
+                                             LAB_STORE_SILENT};
+    gint32 mode = random_between(fault->s, 0, G_N_ELEMENTS(modes));
     if (fault->s->store_faults > 0)
         return false;
-    soak_touch_store(fault->s, 1);
+    soak_count_store_fault(fault->s, 1);
     lab_store_set_mode(fault->s->store, modes[mode]);
-    soak_say(fault->s, "store: mode %d", modes[mode]);
+    soak_log(fault->s, "store: mode %d", modes[mode]);
     return true;
 }
 
-static void mend_store(fault_t *fault)
+static void restore_store_mode(fault_t *fault)
 {
     lab_store_set_mode(fault->s->store, LAB_STORE_NORMAL);
-    soak_touch_store(fault->s, -1);
-    soak_say(fault->s, "store: well");
+    soak_count_store_fault(fault->s, -1);
+    soak_log(fault->s, "store: well");
 }
 
 static bool begin_restore(fault_t *fault)
@@ -352,11 +356,11 @@
     soak_end_restore(fault->s);
 }
 
-static bool forget_history(fault_t *fault)
+static bool drop_history(fault_t *fault)
 {
-    lab_store_forget(fault->s->store);
-    fault->s->store_touched_us = ts_clock_now_us();
-    soak_say(fault->s, "store: history forgotten");
+    lab_store_drop_history(fault->s->store);
+    fault->s->store_fault_changed_us = ts_clock_now_us();
+    soak_log(fault->s, "store: history forgotten");
     return true;
 }
 
@@ -370,7 +374,7 @@
 {
     if (fault->s->evacuated_zone != 0)
         return false;
-    soak_evacuate(fault->s, (unsigned)draw(fault->s, 1, 3));
+    soak_evacuate(fault->s, (unsigned)random_between(fault->s, 1, 3));
     return true;
 }
 
@@ -386,22 +390,22 @@
     {"kill", 3, kill_node, restart_node, 0},
     {"clock", 2, skew_clock, restart_node, 0},
     {"kill all", 1, kill_all, restart_all, 0},
-    {"stop", 3, stop_node, start_again, 0},
-    {"hang up", 2, hang_up, NULL, 0},
-    {"node's link", 5, spoil_node_link, mend_node_link, 0},
-    {"silent connections", 4, swallow_connections, NULL, 0},
-    {"searcher's link", 6, spoil_searcher_link, mend_link, 0},
-    {"misbehaviour", 8, misbehave, cure_searcher, 0},
-    {"slowness", 5, slow_down, cure_searcher, 0},
-    {"replacement", 4, replace, NULL, 0},
-    {"crash", 4, end_searcher, NULL, 0},
-    {"foreign entry", 3, write_foreign, NULL, 0},
-    {"fatal request", 3, begin_fatal, end_fatal, FATAL_LONGER_MS},
-    {"store", 2, spoil_store, mend_store, 0},
+    {"stop", 3, stop_node, restart_when_stopped, 0},
+    {"hang up", 2, send_sighup, NULL, 0},
+    {"node's link", 5, disturb_node_link, restore_node_link, 0},
+    {"silent connections", 4, blackhole_connections, NULL, 0},
+    {"searcher's link", 6, disturb_searcher_link, restore_link, 0},
+    {"misbehaviour", 8, misbehave, restore_searcher, 0},
+    {"slowness", 5, slow_down, restore_searcher, 0},
+    {"replacement", 4, replace_searcher, NULL, 0},
+    {"crash", 4, crash_searcher, NULL, 0},
+    {"foreign entry", 3, write_foreign_entry, NULL, 0},
+    {"fatal request", 3, begin_fatal_request, end_fatal_request, FATAL_REQUEST_EXTRA_MS},
+    {"store", 2, disturb_store, restore_store_mode, 0},
     {"older copy", 2, begin_restore, end_restore, 0},
-    {"history", 1, forget_history, NULL, 0},
+    {"history", 1, drop_history, NULL, 0},
     {"configuration", 5, configure, NULL, 0},
-    {"evacuation", 2, evacuate, end_evacuation, EVACUATION_LONGER_MS},
+    {"evacuation", 2, evacuate, end_evacuation, EVACUATION_EXTRA_MS},
 };
 
 static const fault_kind_t *draw_kind(soak_t *s)
@@ -409,7 +413,7 @@
     unsigned total = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(kinds); i++)
         total += kinds[i].weight;
-    unsigned at = (unsigned)draw(s, 0, (gint32)total);
+    unsigned at = (unsigned)random_between(s, 0, (gint32)total);
     size_t i = 0;
     for (; at >= kinds[i].weight; i++)
         at -= kinds[i].weight;
@@ -420,13 +424,14 @@
 {
     fault_t *fault = timer->data;
     fault->kind->end(fault);
-    if (fault->kind->end != start_again)
+    if (fault->kind->end != restart_when_stopped)
         uv_close((uv_handle_t *)timer, free_fault);
 }
 
-static bool is_end_of_down(const fault_kind_t *kind)
+static bool ends_downtime(const fault_kind_t *kind)
 {
-    return kind->end == restart_node || kind->end == restart_all || kind->end == start_again;
+    return kind->end == restart_node || kind->end == restart_all ||
+           kind->end == restart_when_stopped;
 }
 
 static void begin_fault(soak_t *s)
@@ -443,21 +448,22 @@
         g_free(fault);
         return;
     }
-    uint64_t last_ms = (uint64_t)(is_end_of_down(fault->kind) ? draw(s, DOWN_MIN_MS, DOWN_MAX_MS)
-                                                              : draw(s, LAST_MIN_MS, LAST_MAX_MS));
-    last_ms += fault->kind->longer_ms;
+    uint64_t duration_ms = (uint64_t)(ends_downtime(fault->kind)
+                                          ? random_between(s, DOWNTIME_MIN_MS, DOWNTIME_MAX_MS)
+                                          : random_between(s, DURATION_MIN_MS, DURATION_MAX_MS));
+    duration_ms += fault->kind->extra_ms;
     uv_timer_init(&s->loop, &fault->timer);
     fault->timer.data = fault;
-    uv_timer_start(&fault->timer, end_fault, last_ms, 0);
+    uv_timer_start(&fault->timer, end_fault, duration_ms, 0);
 }
 
-static void next_fault(uv_timer_t *timer)
+static void begin_next_fault(uv_timer_t *timer)
 {
     soak_t *s = timer->data;
     if (s->is_draining)
         return;
     begin_fault(s);
-    uv_timer_start(timer, next_fault, (uint64_t)draw(s, GAP_MIN_MS, GAP_MAX_MS), 0);
+    uv_timer_start(timer, begin_next_fault, (uint64_t)random_between(s, GAP_MIN_MS, GAP_MAX_MS), 0);
 }
 
 void soak_faults_start(soak_t *s)
@@ -465,6 +471,6 @@
     static uv_timer_t timer;
     uv_timer_init(&s->loop, &timer);
     timer.data = s;
-    uv_timer_start(&timer, next_fault, GAP_MAX_MS, 0);
-    soak_watch_calls(s);
+    uv_timer_start(&timer, begin_next_fault, GAP_MAX_MS, 0);
+    soak_watch_store_calls(s);
 }
--- a/lab/soak_tenants.c
+++ b/lab/soak_tenants.c
@@ -11,7 +11,7 @@
 #define LIMIT_RATE 4
 #define LIMIT_BURST 4
 #define LIMIT_WINDOW_S 5
-#define LIMIT_MOST ((LIMIT_RATE * LIMIT_WINDOW_S + LIMIT_BURST) * 1.25 + 5)
+#define LIMIT_MAX ((LIMIT_RATE * LIMIT_WINDOW_S + LIMIT_BURST) * 1.25 + 5)
 // Of requests in a hundred: those of the limited tenant, and of the one whose key changes.
 #define LIMITED_PERCENT 20
 #define CHANGING_PERCENT 25
@@ -23,12 +23,12 @@
     TENANT_FREE,     // no limit, one key
     TENANT_LIMITED,  // sends more than it may
     TENANT_CHANGING, // each version of the configuration has another key of it
-    TENANTS
+    TENANT_COUNT
 } soak_tenant_t;
 
-static const char *const names[TENANTS] = {"free", "limited", "changing"};
+static const char *const names[TENANT_COUNT] = {"free", "limited", "changing"};
 
-static char *key_of(int tenant, uint64_t version)
+static char *compose_key(int tenant, uint64_t version)
 {
     if (tenant != TENANT_CHANGING)
         return g_strdup_printf("key-of-%s", names[tenant]);
@@ -38,9 +38,9 @@
 char *soak_compose_tenants(uint64_t version, bool is_planted)
 {
     GString *out = g_string_new(NULL);
-    for (int i = 0; i < TENANTS; i++) {
+    for (int i = 0; i < TENANT_COUNT; i++) {
         bool is_limited = i == TENANT_LIMITED && !is_planted;
-        char *key = key_of(i, version);
+        char *key = compose_key(i, version);
         g_string_append_printf(
             out, "%s{\"%s\":\"%s%s\",\"%s\":[\"%s\"],\"%s\":0,\"%s\":%d,\"%s\":%d}",
             i > 0 ? "," : "", FIELD_NAME, names[i], is_planted && i == TENANT_FREE ? "-2" : "",
@@ -51,7 +51,7 @@
     return g_string_free(out, FALSE);
 }
 
-static soak_tenant_t draw_tenant(soak_t *s)
+static soak_tenant_t choose_tenant(soak_t *s)
 {
     gint32 at = g_rand_int_range(s->random, 0, 100);
     if (at < LIMITED_PERCENT)
@@ -59,75 +59,80 @@
     return at < LIMITED_PERCENT + CHANGING_PERCENT ? TENANT_CHANGING : TENANT_FREE;
 }
 
-char *soak_draw_credentials(soak_t *s, soak_record_t *record, bool is_open, bool must_pass)
+char *soak_choose_credentials(soak_t *s, soak_request_record_t *record, bool is_open,
+                              bool must_pass)
 {
     static const char forged[] = NAME_TENANT ": forged\r\n";
     record->tenant = TENANT_NONE;
     if (is_open)
         return g_strdup(forged);
-    record->tenant = must_pass ? TENANT_FREE : draw_tenant(s);
+    record->tenant = must_pass ? TENANT_FREE : choose_tenant(s);
     uint64_t version = s->version;
-    bool is_old = record->tenant == TENANT_CHANGING && version > 1 &&
-                  g_rand_int_range(s->random, 0, 100) < REVOKED_PERCENT;
+    bool is_old_key = record->tenant == TENANT_CHANGING && version > 1 &&
+                      g_rand_int_range(s->random, 0, 100) < REVOKED_PERCENT;
     record->version = version;
-    record->has_old_key = is_old;
-    record->is_revoked = is_old && ts_clock_now_us() > s->version_us + APPLY_US;
-    record->is_key_due = !is_old && ts_clock_now_us() > s->version_us + APPLY_US;
-    char *key = key_of(record->tenant, is_old ? version - 1 : version);
+    record->has_old_key = is_old_key;
+    record->is_revoked = is_old_key && ts_clock_now_us() > s->version_written_us + APPLY_US;
+    record->is_key_due = !is_old_key && ts_clock_now_us() > s->version_written_us + APPLY_US;
+    char *key = compose_key(record->tenant, is_old_key ? version - 1 : version);
     char *fields = g_strdup_printf("%s: Bearer %s\r\n%s", NAME_AUTHORIZATION, key, forged);
     g_free(key);
     return fields;
 }
 
-void soak_check_tenant(soak_t *s, const lab_searcher_t *searcher, const ts_http_message_t *request)
+void soak_check_tenant(soak_t *s, const lab_searcher_t *standin, const ts_http_message_t *request)
 {
     const char *id = ts_http_message_find(request, NAME_REQUEST_ID);
-    const soak_record_t *record = id == NULL ? NULL : g_hash_table_lookup(s->records, id);
+    const soak_request_record_t *record =
+        id == NULL ? NULL : g_hash_table_lookup(s->request_records, id);
     if (record == NULL)
         return; // said where it is counted
     const char *shown = ts_http_message_find(request, NAME_TENANT);
     const char *wanted = record->tenant == TENANT_NONE ? NULL : names[record->tenant];
     if (g_strcmp0(shown, wanted) != 0 || ts_http_message_count(request, NAME_TENANT) > 1)
-        soak_broken(s, "TENANT", "%s got %s as of tenant %s, it is of %s", searcher->id, id,
-                    shown == NULL ? "none" : shown, wanted == NULL ? "none" : wanted);
+        soak_report_violation(s, "TENANT", "%s got %s as of tenant %s, it is of %s", standin->id,
+                              id, shown == NULL ? "none" : shown, wanted == NULL ? "none" : wanted);
     if (ts_http_message_find(request, NAME_AUTHORIZATION) != NULL)
-        soak_broken(s, "KEY_SHOWN", "%s got the key of %s", searcher->id, id);
-    if (record->is_revoked && soak_in_touch(record->node, ts_clock_now_us()))
-        soak_broken(s, "REVOKED", "%s got %s of %s, whose key had been taken away", searcher->id,
-                    id, record->node->name);
+        soak_report_violation(s, "KEY_SHOWN", "%s got the key of %s", standin->id, id);
+    if (record->is_revoked && soak_is_fault_free(record->node, ts_clock_now_us()))
+        soak_report_violation(s, "REVOKED", "%s got %s of %s, whose key had been taken away",
+                              standin->id, id, record->node->name);
 }
 
-void soak_note_run(soak_t *s, const soak_record_t *record, bool is_first)
+void soak_record_run(soak_t *s, const soak_request_record_t *record, bool is_first)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     if (is_first && record->tenant == TENANT_LIMITED)
         g_array_append_val(s->limited_runs, now_us);
 }
 
-void soak_check_turned_away(soak_t *s, const soak_record_t *record, const char *id,
-                            const ts_http_message_t *answer, bool was_in_touch)
+void soak_check_rejection(soak_t *s, const soak_request_record_t *record, const char *id,
+                          const ts_http_message_t *answer, bool was_fault_free)
 {
     unsigned status = answer->parser.status_code;
     bool is_changing = record->tenant == TENANT_CHANGING;
-    bool is_gone = s->version != record->version; // a version that came meanwhile took it away
-    bool may_be_unknown =
-        is_changing && (record->has_old_key || is_gone || !record->is_key_due || !was_in_touch);
-    if (status == 401 && !may_be_unknown)
-        soak_broken(s, "KEY_REFUSED", "%s does not know the key of %s", record->node->name, id);
+    bool is_superseded =
+        s->version != record->version; // a version that came meanwhile took it away
+    bool may_be_rejected = is_changing && (record->has_old_key || is_superseded ||
+                                           !record->is_key_due || !was_fault_free);
+    if (status == 401 && !may_be_rejected)
+        soak_report_violation(s, "KEY_REFUSED", "%s does not know the key of %s",
+                              record->node->name, id);
     if (status == 429 && record->tenant != TENANT_LIMITED)
-        soak_broken(s, "LIMIT_REFUSED", "%s refused %s, whose tenant has no limit",
-                    record->node->name, id);
+        soak_report_violation(s, "LIMIT_REFUSED", "%s refused %s, whose tenant has no limit",
+                              record->node->name, id);
     if (status == 429 && ts_http_message_find(answer, NAME_RETRY_AFTER) == NULL)
-        soak_broken(s, "RETRY_AFTER", "%s refused %s without a time to come back",
-                    record->node->name, id);
+        soak_report_violation(s, "RETRY_AFTER", "%s refused %s without a time to come back",
+                              record->node->name, id);
 }
 
-void soak_check_limit(soak_t *s)
+void soak_check_quota(soak_t *s)
 {
-    unsigned most = soak_most_within(s->limited_runs, LIMIT_WINDOW_S * TS_US_PER_S);
-    soak_say(s, "the limited tenant ran %u requests, %u at most in %d s", s->limited_runs->len,
-             most, LIMIT_WINDOW_S);
-    if (most > LIMIT_MOST)
-        soak_broken(s, "QUOTA", "the limited tenant ran %u requests in %d s, %.0f are allowed",
-                    most, LIMIT_WINDOW_S, LIMIT_MOST);
+    unsigned max_runs = soak_max_within(s->limited_runs, LIMIT_WINDOW_S * TS_US_PER_S);
+    soak_log(s, "the limited tenant ran %u requests, %u at most in %d s", s->limited_runs->len,
+             max_runs, LIMIT_WINDOW_S);
+    if (max_runs > LIMIT_MAX)
+        soak_report_violation(s, "QUOTA",
+                              "the limited tenant ran %u requests in %d s, %.0f are allowed",
+                              max_runs, LIMIT_WINDOW_S, LIMIT_MAX);
 }
--- a/lab/soak_world.c
+++ b/lab/soak_world.c
@@ -17,14 +17,14 @@
 #define DRAIN_MS 3000
 #define GRACE_MS 6000
 // What a pipe that nobody reads holds: a few lines.
-#define STALLED_BYTES 4096
+#define STALLED_PIPE_BYTES 4096
 #define ZONES 2
 #define ROUTE_TIMEOUT_MS 1500
 // Until a searcher that ended is back.
 #define RESTART_MIN_MS 300
 #define RESTART_MAX_MS 2500
 // A life of a searcher is born so much later than the one before it at least.
-#define LIFE_MS 1000
+#define INCARNATION_GAP_MS 1000
 // Keys that other writers use, so that they change entries too.
 #define FOREIGN_KEYS 8
 #define EVACUATION_US (3 * TS_US_PER_S)
@@ -33,7 +33,7 @@
 #define WARMUP_RATE 2
 #define WARMUP_OVERRUN 1.0
 #define WARMUP_SLACK 4
-#define COLD_MOST (WARMUP_RATE * WARMUP_OVERRUN + WARMUP_SLACK)
+#define COLD_REQUESTS_MAX (WARMUP_RATE * WARMUP_OVERRUN + WARMUP_SLACK)
 
 const char *soak_service_name(unsigned service)
 {
@@ -53,19 +53,19 @@
 
 // -- Links
 
-static lab_link_mode_t mode_of(void *ctx, const char *source)
+static lab_link_mode_t get_mode(void *ctx, const char *source)
 {
     return ((const soak_link_t *)ctx)->mode;
 }
 
-static double delay_of(void *ctx, const char *source)
+static double get_delay_ms(void *ctx, const char *source)
 {
     return ((const soak_link_t *)ctx)->delay_ms;
 }
 
-static const lab_link_ops_t link_ops = {mode_of, delay_of};
+static const lab_link_ops_t link_ops = {get_mode, get_delay_ms};
 
-void soak_set_link(soak_link_t *link, lab_link_mode_t mode, double delay_ms)
+void soak_set_link_mode(soak_link_t *link, lab_link_mode_t mode, double delay_ms)
 {
     link->mode = mode;
     link->delay_ms = delay_ms;
@@ -88,107 +88,117 @@
 // -- Searchers
 
 // Searchers of placed requests stand in the first zone, which is the first region.
-static void check_place(const soak_searcher_t *own, const soak_record_t *record, const char *id)
+static void check_zone(const soak_searcher_t *searcher, const soak_request_record_t *record,
+                       const char *id)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    soak_t *s = own->soak;
-    unsigned zone = own->replica % ZONES + 1;
+    soak_t *s = searcher->soak;
+    unsigned zone = searcher->replica % ZONES + 1;
     if (record->is_placed && zone != 1)
-        soak_broken(s, "HOME", "request %s of %s reached %s in zone %u", id, record->node->name,
-                    own->searcher->id, zone);
+        soak_report_violation(s, "HOME", "request %s of %s reached %s in zone %u", id,
+                              record->node->name, searcher->standin->id, zone);
     if (s->evacuated_zone == zone && now_us - s->evacuated_us > EVACUATION_US &&
-        soak_in_touch(record->node, now_us))
-        soak_broken(s, "EVAC", "request %s of %s reached %s %lu ms after its zone's evacuation", id,
-                    record->node->name, own->searcher->id,
-                    (unsigned long)((now_us - s->evacuated_us) / TS_US_PER_MS));
+        soak_is_fault_free(record->node, now_us))
+        soak_report_violation(s, "EVAC",
+                              "request %s of %s reached %s %lu ms after its zone's evacuation", id,
+                              record->node->name, searcher->standin->id,
+                              (unsigned long)((now_us - s->evacuated_us) / TS_US_PER_MS));
 }
 
 // Over all gateways, whatever they know. A link that was spoilt lets requests through in bunches.
-static void check_cold(soak_searcher_t *own)
+static void check_cold(soak_searcher_t *searcher)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    bool is_cold = own->cold_us != 0 && now_us - own->cold_us < WARMUP_MS * TS_US_PER_MS;
-    bool is_link_well = own->link.mode == LAB_LINK_PASS && own->link.delay_ms == 0 &&
-                        now_us - own->link.changed_us > TS_US_PER_S;
-    if (!is_cold || !is_link_well)
+    bool is_cold =
+        searcher->cold_since_us != 0 && now_us - searcher->cold_since_us < WARMUP_MS * TS_US_PER_MS;
+    bool is_link_undisturbed = searcher->link.mode == LAB_LINK_PASS &&
+                               searcher->link.delay_ms == 0 &&
+                               now_us - searcher->link.changed_us > TS_US_PER_S;
+    if (!is_cold || !is_link_undisturbed)
         return;
-    g_array_append_val(own->arrivals, now_us);
-    unsigned most = soak_arrivals_within(own->arrivals, TS_US_PER_S);
-    if (most > COLD_MOST)
-        soak_broken(own->soak, "FAILBACK", "%s got %u requests in a second while it was cold",
-                    own->searcher->id, most);
+    g_array_append_val(searcher->arrivals, now_us);
+    unsigned arrivals = soak_arrivals_within(searcher->arrivals, TS_US_PER_S);
+    if (arrivals > COLD_REQUESTS_MAX)
+        soak_report_violation(searcher->soak, "FAILBACK",
+                              "%s got %u requests in a second while it was cold",
+                              searcher->standin->id, arrivals);
 }
 
 // A request has come: it is noted whose it is, and what it says of the sender.
-static void note_arrival(void *ctx, lab_searcher_t *searcher, const char *request_id, bool runs)
+static void handle_request(void *ctx, lab_searcher_t *standin, const char *request_id, bool runs)
 {
-    soak_searcher_t *own = ctx;
-    soak_t *s = own->soak;
+    soak_searcher_t *searcher = ctx;
+    soak_t *s = searcher->soak;
     ts_time_us_t now_us = ts_clock_now_us();
-    soak_record_t *record = request_id == NULL ? NULL : g_hash_table_lookup(s->records, request_id);
+    soak_request_record_t *record =
+        request_id == NULL ? NULL : g_hash_table_lookup(s->request_records, request_id);
     if (record == NULL) {
-        soak_broken(s, "UNASKED", "%s got request %s that nobody sent", searcher->id,
-                    request_id == NULL ? "without an id" : request_id);
+        soak_report_violation(s, "UNASKED", "%s got request %s that nobody sent", standin->id,
+                              request_id == NULL ? "without an id" : request_id);
         return;
     }
     soak_check_fatal_arrival(s, record, request_id);
-    soak_note_run(s, record, runs && record->runs == 0);
+    soak_record_run(s, record, runs && record->runs == 0);
     record->runs += runs;
     if (runs && record->runs > 1 && !record->is_repeatable)
-        soak_broken(s, "TWICE", "request %s of %s ran again at %s", request_id, record->node->name,
-                    searcher->id);
+        soak_report_violation(s, "TWICE", "request %s of %s ran again at %s", request_id,
+                              record->node->name, standin->id);
     if (runs && record->was_refused && !record->is_repeatable)
-        soak_broken(s, "REFUSED", "request %s ran at %s after its refusal", request_id,
-                    searcher->id);
-    uint64_t bit = 1ULL << own->service;
+        soak_report_violation(s, "REFUSED", "request %s ran at %s after its refusal", request_id,
+                              standin->id);
+    uint64_t bit = 1ULL << searcher->service;
     if ((record->services & bit) != 0)
-        g_array_append_val(s->budgets[own->service].extras, now_us);
+        g_array_append_val(s->budgets[searcher->service].extra_arrivals, now_us);
     record->services |= bit;
     ts_time_us_t drain_us = DRAIN_MS * TS_US_PER_MS;
-    if (own->drained_us != 0 && now_us - own->drained_us > drain_us &&
-        soak_in_touch(record->node, now_us))
-        soak_broken(s, "DRAIN", "request %s reached %s %lu ms after it began to drain", request_id,
-                    searcher->id, (unsigned long)((now_us - own->drained_us) / TS_US_PER_MS));
-    check_place(own, record, request_id);
-    check_cold(own);
+    if (searcher->draining_since_us != 0 && now_us - searcher->draining_since_us > drain_us &&
+        soak_is_fault_free(record->node, now_us))
+        soak_report_violation(
+            s, "DRAIN", "request %s reached %s %lu ms after it began to drain", request_id,
+            standin->id, (unsigned long)((now_us - searcher->draining_since_us) / TS_US_PER_MS));
+    check_zone(searcher, record, request_id);
+    check_cold(searcher);
 }
 
-static void compose(void *ctx, lab_searcher_t *searcher, const char *request_id, GString *body)
+static void compose(void *ctx, lab_searcher_t *standin, const char *request_id, GString *body)
 {
-    soak_compose_body(searcher->service, request_id, body);
+    soak_compose_body(standin->service, request_id, body);
 }
 
-static void note_fields(void *ctx, lab_searcher_t *searcher, const ts_http_message_t *request)
+static void handle_message(void *ctx, lab_searcher_t *standin, const ts_http_message_t *request)
 {
-    const soak_searcher_t *own = ctx;
-    soak_check_tenant(own->soak, searcher, request);
+    const soak_searcher_t *searcher = ctx;
+    soak_check_tenant(searcher->soak, standin, request);
 }
 
-static void note_end(void *ctx, lab_searcher_t *searcher, const char *request_id)
+static void handle_searcher_crash(void *ctx, lab_searcher_t *standin, const char *request_id)
 {
-    soak_note_end(ctx, request_id);
+    soak_handle_crash(ctx, request_id);
 }
 
-static const lab_searcher_ops_t searcher_ops = {
-    .arrived = note_arrival, .heard = note_fields, .ended = note_end, .compose = compose};
+static const lab_searcher_ops_t searcher_ops = {.on_request = handle_request,
+                                                .on_message = handle_message,
+                                                .on_crash = handle_searcher_crash,
+                                                .compose_body = compose};
 
-static unsigned warmup_left_ms(const soak_searcher_t *own)
+static unsigned warmup_left_ms(const soak_searcher_t *searcher)
 {
-    ts_time_us_t age_us = ts_clock_now_us() - own->cold_us;
-    bool is_cold = own->cold_us != 0 && age_us < WARMUP_MS * TS_US_PER_MS;
+    ts_time_us_t age_us = ts_clock_now_us() - searcher->cold_since_us;
+    bool is_cold = searcher->cold_since_us != 0 && age_us < WARMUP_MS * TS_US_PER_MS;
     return is_cold ? WARMUP_MS - (unsigned)(age_us / TS_US_PER_MS) : 0;
 }
 
-static void enter_searcher(soak_t *s, const soak_searcher_t *own, bool is_draining)
+static void register_searcher(soak_t *s, const soak_searcher_t *searcher, bool is_draining)
 {
-    char *key = g_strdup_printf(KEY_INSTANCES "%s", own->searcher->id);
-    char *entry = g_strdup_printf("{\"%s\":\"%s\",\"%s\":\"%s\",\"%s\":\"%s\",\"%s\":4,"
-                                  "\"%s\":\"%s\",\"%s\":%u,\"%s\":%" PRIu64 "}",
-                                  FIELD_SERVICE, own->searcher->service, FIELD_ADDRESS,
-                                  own->link.address, FIELD_ZONE, own->searcher->zone, FIELD_SLOTS,
-                                  FIELD_STATE, is_draining ? WORD_DRAINING : WORD_READY,
-                                  FIELD_WARMUP_MS, s->options.is_planted ? 0 : warmup_left_ms(own),
-                                  FIELD_BORN, own->searcher->born_ms);
+    char *key = g_strdup_printf(KEY_INSTANCES "%s", searcher->standin->id);
+    char *entry =
+        g_strdup_printf("{\"%s\":\"%s\",\"%s\":\"%s\",\"%s\":\"%s\",\"%s\":4,"
+                        "\"%s\":\"%s\",\"%s\":%u,\"%s\":%" PRIu64 "}",
+                        FIELD_SERVICE, searcher->standin->service, FIELD_ADDRESS,
+                        searcher->link.address, FIELD_ZONE, searcher->standin->zone, FIELD_SLOTS,
+                        FIELD_STATE, is_draining ? WORD_DRAINING : WORD_READY, FIELD_WARMUP_MS,
+                        s->options.is_planted ? 0 : warmup_left_ms(searcher), FIELD_BORN,
+                        searcher->standin->born_ms);
     lab_store_put(s->store, key, entry);
     g_free(entry);
     g_free(key);
@@ -196,61 +206,63 @@
 
 // A searcher in its next life (`former`: the one before), or (NULL) a new one.
 static bool add_searcher(soak_t *s, unsigned service, unsigned replica,
-                         const lab_searcher_t *former)
+                         const lab_searcher_t *previous)
 {
-    soak_searcher_t *own = g_new0(soak_searcher_t, 1);
+    soak_searcher_t *searcher = g_new0(soak_searcher_t, 1);
     char id[32];
     char zone[8];
-    if (former == NULL)
+    if (previous == NULL)
         g_snprintf(id, sizeof(id), "i-%u", ++s->searchers_made);
     else
-        g_strlcpy(id, former->id, sizeof(id));
+        g_strlcpy(id, previous->id, sizeof(id));
     g_snprintf(zone, sizeof(zone), "z%u", replica % ZONES + 1);
-    own->soak = s;
-    own->service = service;
-    own->replica = replica;
-    own->searcher = lab_searcher_open(&s->loop, id, soak_service_name(service), zone);
-    if (former != NULL)
-        own->searcher->born_ms = former->born_ms + LIFE_MS;
-    own->arrivals = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
-    own->cold_us = s->begun_us != 0 ? ts_clock_now_us() : 0; // those of the beginning are warm
-    own->searcher->ops = &searcher_ops;
-    own->searcher->ctx = own;
-    own->searcher->delay_ms = 5;
-    own->searcher->crashes_on = SOAK_FATAL;
-    s->searchers[service][replica] = own;
+    searcher->soak = s;
+    searcher->service = service;
+    searcher->replica = replica;
+    searcher->standin = lab_searcher_open(&s->loop, id, soak_service_name(service), zone);
+    if (previous != NULL)
+        searcher->standin->born_ms = previous->born_ms + INCARNATION_GAP_MS;
+    searcher->arrivals = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
+    searcher->cold_since_us =
+        s->started_us != 0 ? ts_clock_now_us() : 0; // those of the beginning are warm
+    searcher->standin->ops = &searcher_ops;
+    searcher->standin->ctx = searcher;
+    searcher->standin->delay_ms = 5;
+    searcher->standin->crash_target = SOAK_FATAL_TEXT;
+    s->searchers[service][replica] = searcher;
     g_hash_table_insert(s->instances, g_strdup(id), (gpointer)soak_service_name(service));
-    if (!open_link(s, &own->link, "127.0.0.1", own->searcher->port))
+    if (!open_link(s, &searcher->link, "127.0.0.1", searcher->standin->port))
         return false;
-    enter_searcher(s, own, false);
+    register_searcher(s, searcher, false);
     return true;
 }
 
-static void leave_list(soak_t *s, const soak_searcher_t *own)
+static void deregister_searcher(soak_t *s, const soak_searcher_t *searcher)
 {
-    char *key = g_strdup_printf(KEY_INSTANCES "%s", own->searcher->id);
+    char *key = g_strdup_printf(KEY_INSTANCES "%s", searcher->standin->id);
     lab_store_delete(s->store, key);
     g_free(key);
 }
 
 // A crash says nothing: the entry goes after three heartbeats, another start enters itself. It may
 // be back before that, under its id.
-static void come_back(uv_timer_t *restart)
+static void restart_searcher(uv_timer_t *restart_timer)
 {
-    soak_searcher_t *own = restart->data;
-    soak_t *s = own->soak;
-    bool is_latest = s->searchers[own->service][own->replica] == own;
-    bool is_reborn = is_latest && g_rand_boolean(s->random);
-    if (!is_reborn || g_rand_boolean(s->random))
-        leave_list(s, own);
-    if (is_latest && add_searcher(s, own->service, own->replica, is_reborn ? own->searcher : NULL))
-        soak_say(s, "%s has ended, %s comes%s", own->searcher->id,
-                 s->searchers[own->service][own->replica]->searcher->id,
-                 is_reborn ? ", its next life" : "");
-    uv_close((uv_handle_t *)restart, NULL);
+    soak_searcher_t *searcher = restart_timer->data;
+    soak_t *s = searcher->soak;
+    bool is_latest = s->searchers[searcher->service][searcher->replica] == searcher;
+    bool keeps_id = is_latest && g_rand_boolean(s->random);
+    if (!keeps_id || g_rand_boolean(s->random))
+        deregister_searcher(s, searcher);
+    if (is_latest &&
+        add_searcher(s, searcher->service, searcher->replica, keeps_id ? searcher->standin : NULL))
+        soak_log(s, "%s has ended, %s comes%s", searcher->standin->id,
+                 s->searchers[searcher->service][searcher->replica]->standin->id,
+                 keeps_id ? ", its next life" : "");
+    uv_close((uv_handle_t *)restart_timer, NULL);
 }
 
-void soak_write_foreign(soak_t *s)
+void soak_write_foreign_entry(soak_t *s)
 {
     static const char *const entries[] = {
         "not to be read",
@@ -265,17 +277,17 @@
     int drawn = g_rand_int_range(s->random, 0, G_N_ELEMENTS(entries));
     char *key = g_strdup_printf(KEY_INSTANCES "0-%u", g_rand_int(s->random) % FOREIGN_KEYS);
     lab_store_put(s->store, key, entries[drawn]);
-    soak_say(s, "another writer: entry %d at %s", drawn, key);
+    soak_log(s, "another writer: entry %d at %s", drawn, key);
     g_free(key);
 }
 
-void soak_restart_searcher(soak_searcher_t *own)
+void soak_restart_searcher(soak_searcher_t *searcher)
 {
-    soak_t *s = own->soak;
-    lab_link_end(own->link.link);
-    uv_timer_init(&s->loop, &own->restart);
-    own->restart.data = own;
-    uv_timer_start(&own->restart, come_back,
+    soak_t *s = searcher->soak;
+    lab_link_close(searcher->link.link);
+    uv_timer_init(&s->loop, &searcher->restart_timer);
+    searcher->restart_timer.data = searcher;
+    uv_timer_start(&searcher->restart_timer, restart_searcher,
                    (uint64_t)g_rand_int_range(s->random, RESTART_MIN_MS, RESTART_MAX_MS), 0);
 }
 
@@ -284,11 +296,11 @@
     soak_searcher_t *old = s->searchers[service][replica];
     if (!add_searcher(s, service, replica, NULL))
         return;
-    old->drained_us = ts_clock_now_us();
+    old->draining_since_us = ts_clock_now_us();
     if (!s->options.is_planted)
-        enter_searcher(s, old, true);
-    soak_say(s, "%s drains, %s takes its place in service %s", old->searcher->id,
-             s->searchers[service][replica]->searcher->id, soak_service_name(service));
+        register_searcher(s, old, true);
+    soak_log(s, "%s drains, %s takes its place in service %s", old->standin->id,
+             s->searchers[service][replica]->standin->id, soak_service_name(service));
 }
 
 // -- Evacuations
@@ -305,7 +317,7 @@
     s->evacuated_us = ts_clock_now_us();
     if (!s->options.is_planted)
         lab_store_put(s->store, key, "{}");
-    soak_say(s, "zone z%u is evacuated", zone);
+    soak_log(s, "zone z%u is evacuated", zone);
     g_free(key);
 }
 
@@ -315,17 +327,17 @@
     for (unsigned i = 0; i < SOAK_SERVICES; i++) {
         for (unsigned j = 0; j < SOAK_REPLICAS; j++) {
             if (j % ZONES + 1 == s->evacuated_zone)
-                s->searchers[i][j]->cold_us = ts_clock_now_us();
+                s->searchers[i][j]->cold_since_us = ts_clock_now_us();
         }
     }
     lab_store_delete(s->store, key);
     for (unsigned i = 0; i < SOAK_SERVICES; i++) {
         for (unsigned j = 0; j < SOAK_REPLICAS; j++) {
             if (j % ZONES + 1 == s->evacuated_zone)
-                enter_searcher(s, s->searchers[i][j], false);
+                register_searcher(s, s->searchers[i][j], false);
         }
     }
-    soak_say(s, "zone z%u is in use again", s->evacuated_zone);
+    soak_log(s, "zone z%u is in use again", s->evacuated_zone);
     s->evacuated_zone = 0;
     g_free(key);
 }
@@ -364,7 +376,7 @@
     char *shards =
         g_strdup_printf("\"%s\":[\"%s\",\"%s\",\"%s\"],\"%s\":%d,\"%s\":0.6", FIELD_GATHER,
                         soak_service_name(first), soak_service_name(first + 1),
-                        soak_service_name(first + 2), FIELD_TOP, SOAK_TOP, FIELD_COVERAGE);
+                        soak_service_name(first + 2), FIELD_TOP, SOAK_TOP_RECORDS, FIELD_COVERAGE);
     char *placed =
         g_strdup_printf("%s%s", service, is_planted ? "" : ",\"" FIELD_REGIONS "\":[\"r1\"]");
     char *marker = g_strdup_printf("/v%lu/", (unsigned long)version);
@@ -383,7 +395,7 @@
 void soak_configure(soak_t *s)
 {
     s->version++;
-    s->version_us = ts_clock_now_us();
+    s->version_written_us = ts_clock_now_us();
     char *routes = compose_routes(s->version, s->options.is_planted);
     char *services = compose_services();
     char *tenants = soak_compose_tenants(s->version, s->options.is_planted);
@@ -395,7 +407,7 @@
                         FIELD_HEAD_BYTES, FIELD_BODY_BYTES, FIELD_HEAD_MS, FIELD_IDLE_MS);
     if (!s->options.is_planted || s->version == 1)
         lab_store_put(s->store, KEY_CONFIG, text);
-    soak_say(s, "version %lu", (unsigned long)s->version);
+    soak_log(s, "version %lu", (unsigned long)s->version);
     g_free(text);
     g_free(tenants);
     g_free(services);
@@ -404,20 +416,21 @@
 
 // -- Gateways
 
-bool soak_in_touch(const soak_node_t *node, ts_time_us_t now_us)
+bool soak_is_fault_free(const soak_node_t *node, ts_time_us_t now_us)
 {
     const soak_t *s = node->soak;
-    return node->is_running && node->faults == 0 && s->store_faults == 0 && !node->is_stopping &&
-           now_us - node->touched_us > CONTACT_US && now_us - s->store_touched_us > CONTACT_US;
+    return node->is_running && node->active_faults == 0 && s->store_faults == 0 &&
+           !node->is_stopping && now_us - node->fault_changed_us > CONTACT_US &&
+           now_us - s->store_fault_changed_us > CONTACT_US;
 }
 
-void soak_touch(soak_node_t *node, int faults)
+void soak_count_node_fault(soak_node_t *node, int faults)
 {
-    node->faults = (unsigned)((int)node->faults + faults);
-    node->touched_us = ts_clock_now_us();
+    node->active_faults = (unsigned)((int)node->active_faults + faults);
+    node->fault_changed_us = ts_clock_now_us();
 }
 
-static void node_ended(void *ctx, const lab_child_end_t *end)
+static void handle_node_exit(void *ctx, const lab_child_end_t *end)
 {
     soak_node_t *node = ctx;
     soak_t *s = node->soak;
@@ -425,18 +438,19 @@
     unsigned long late_ms = (unsigned long)((now_us - end->ended_us) / TS_US_PER_MS);
     node->process = NULL;
     node->is_running = false;
-    node->touched_us = now_us;
-    soak_say(s, "%s ended: status %d, signal %d, noticed after %lu ms", node->name, end->status,
+    node->fault_changed_us = now_us;
+    soak_log(s, "%s ended: status %d, signal %d, noticed after %lu ms", node->name, end->status,
              end->signal, late_ms);
-    if (!node->ends_on_purpose)
-        soak_broken(s, "ENDED", "%s ended by itself: status %d, signal %d", node->name, end->status,
-                    end->signal);
-    ts_time_us_t stop_us = end->ended_us - node->term_us;
-    bool is_right = end->status == 0 && end->signal == 0 && stop_us <= GRACE_MS * TS_US_PER_MS;
-    if (node->is_stopping && !is_right)
-        soak_broken(s, "STOP", "%s stopped with status %d, signal %d after %lu ms", node->name,
-                    end->status, end->signal, (unsigned long)(stop_us / TS_US_PER_MS));
-    if (node->starts_again)
+    if (!node->is_exit_expected)
+        soak_report_violation(s, "ENDED", "%s ended by itself: status %d, signal %d", node->name,
+                              end->status, end->signal);
+    ts_time_us_t stop_us = end->ended_us - node->sigterm_us;
+    bool is_clean = end->status == 0 && end->signal == 0 && stop_us <= GRACE_MS * TS_US_PER_MS;
+    if (node->is_stopping && !is_clean)
+        soak_report_violation(s, "STOP", "%s stopped with status %d, signal %d after %lu ms",
+                              node->name, end->status, end->signal,
+                              (unsigned long)(stop_us / TS_US_PER_MS));
+    if (node->restarts_on_exit)
         (void)soak_node_start(node);
 }
 
@@ -463,20 +477,20 @@
 }
 
 // The writing end of a pipe that nobody reads; the other end stays open.
-static int open_stalled(void)
+static int open_stalled_pipe(void)
 {
-    int ends[2] = {-1, -1};
-    if (pipe2(ends, O_CLOEXEC) != 0)
+    int fds[2] = {-1, -1};
+    if (pipe2(fds, O_CLOEXEC) != 0)
         return -1;
-    (void)fcntl(ends[1], F_SETPIPE_SZ, STALLED_BYTES);
-    return ends[1];
+    (void)fcntl(fds[1], F_SETPIPE_SZ, STALLED_PIPE_BYTES);
+    return fds[1];
 }
 
 bool soak_node_start(soak_node_t *node)
 {
     const soak_options_t *options = &node->soak->options;
-    node->starts_again = node->process != NULL;
-    if (node->starts_again)
+    node->restarts_on_exit = node->process != NULL;
+    if (node->restarts_on_exit)
         return true; // it was killed a moment ago
     bool is_skewed = node->clock_skew_ms != 0 && options->skewed_program != NULL;
     char *program = (char *)(is_skewed ? options->skewed_program : options->program);
@@ -485,19 +499,19 @@
     g_snprintf(skew, sizeof(skew), "LAB_CLOCK_SKEW_MS=%d", node->clock_skew_ms);
     char *environment[] = {skew, NULL};
     int log = options->is_log_stalled
-                  ? open_stalled()
+                  ? open_stalled_pipe()
                   : open(node->log_path, O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0644);
     node->process =
-        lab_child_start(&node->soak->loop, arguments, environment, log, node_ended, node);
+        lab_child_start(&node->soak->loop, arguments, environment, log, handle_node_exit, node);
     close(log);
     node->is_running = node->process != NULL;
     node->is_paused = false;
     node->is_stopping = false;
-    node->ends_on_purpose = false;
+    node->is_exit_expected = false;
     node->version_seen = 0;
-    node->life++;
-    node->touched_us = ts_clock_now_us();
-    soak_say(node->soak, "%s starts, life %u, skew %d ms", node->name, node->life,
+    node->incarnation++;
+    node->fault_changed_us = ts_clock_now_us();
+    soak_log(node->soak, "%s starts, life %u, skew %d ms", node->name, node->incarnation,
              node->clock_skew_ms);
     return node->is_running;
 }
@@ -506,11 +520,11 @@
 {
     if (!node->is_running)
         return;
-    soak_say(node->soak, "%s gets signal %d", node->name, number);
-    node->ends_on_purpose |= number == SIGKILL || number == SIGTERM;
+    soak_log(node->soak, "%s gets signal %d", node->name, number);
+    node->is_exit_expected |= number == SIGKILL || number == SIGTERM;
     if (number == SIGTERM) {
         node->is_stopping = true;
-        node->term_us = ts_clock_now_us();
+        node->sigterm_us = ts_clock_now_us();
     }
     lab_child_kill(node->process, number);
 }
@@ -545,7 +559,7 @@
     bool is_open = open_store(s);
     for (unsigned i = 0; i < SOAK_SERVICES && is_open; i++) {
         s->budgets[i].requests = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
-        s->budgets[i].extras = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
+        s->budgets[i].extra_arrivals = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
         for (unsigned j = 0; j < SOAK_REPLICAS && is_open; j++)
             is_open = add_searcher(s, i, j, NULL);
     }
--- a/lab/standin_store.c
+++ b/lab/standin_store.c
@@ -16,7 +16,7 @@
 #define STATUS_OK 200
 #define STATUS_GONE 410
 #define STATUS_THROTTLED 429
-#define STATUS_BUSY 503
+#define STATUS_UNAVAILABLE 503
 #define STATUS_NOT_FOUND 404
 
 typedef struct change {
@@ -25,29 +25,29 @@
     char *value; /* NULL: the key is gone */
 } change_t;
 
-typedef struct waiter {
+typedef struct watch {
     ts_caller_t *caller;
     char *prefix;
     uint64_t after;
     ts_time_us_t until_us;
-} waiter_t;
+} watch_t;
 
 struct lab_store {
     ts_listener_t *listener;
     uv_timer_t tick;
     GTree *entries;     /* key -> change_t */
     GPtrArray *history; /* of change_t */
-    GPtrArray *waiters; /* of waiter_t */
+    GPtrArray *watches; /* of waiter_t */
     uint64_t revision;
-    uint64_t forgotten; /* history up to here is gone */
+    uint64_t dropped_revision; /* history up to here is gone */
     lab_store_mode_t mode;
     uint64_t epoch;  /* in all answers; 0: not told */
     GPtrArray *copy; /* of change_t: the entries of the copy */
     uint64_t copy_revision;
-    uint64_t writes;
-    GHashTable *written; /* key -> how many writes there were with its last one, as a pointer */
-    unsigned page;
-    unsigned calls;
+    uint64_t write_count;
+    GHashTable *last_writes; /* key -> how many writes there were with its last one, as a pointer */
+    unsigned page_size;
+    unsigned call_count;
 };
 
 static void free_change(gpointer data)
@@ -58,11 +58,11 @@
     g_free(change);
 }
 
-static void free_waiter(gpointer data)
+static void free_watch(gpointer data)
 {
-    waiter_t *waiter = data;
-    g_free(waiter->prefix);
-    g_free(waiter);
+    watch_t *watch = data;
+    g_free(watch->prefix);
+    g_free(watch);
 }
 
 static change_t *create_change(uint64_t revision, const char *key, const char *value)
@@ -74,7 +74,7 @@
     return change;
 }
 
-static json_t *describe(const change_t *change)
+static json_t *change_to_json(const change_t *change)
 {
     json_t *item = json_object();
     json_object_set_new(item, FIELD_KEY, json_string(change->key));
@@ -89,8 +89,8 @@
     return item;
 }
 
-static void answer(const lab_store_t *store, ts_caller_t *caller, unsigned status, const char *body,
-                   size_t length)
+static void respond(const lab_store_t *store, ts_caller_t *caller, unsigned status,
+                    const char *body, size_t length)
 {
     GString *fields = g_string_new(NULL);
     if (body != NULL)
@@ -101,16 +101,16 @@
     g_string_free(fields, TRUE);
 }
 
-static void answer_json(const lab_store_t *store, ts_caller_t *caller, json_t *document)
+static void respond_json(const lab_store_t *store, ts_caller_t *caller, json_t *document)
 {
     char *text = json_dumps(document, JSON_COMPACT);
-    answer(store, caller, STATUS_OK, text, strlen(text));
+    respond(store, caller, STATUS_OK, text, strlen(text));
     free(text);
     json_decref(document);
 }
 
 /* Value of a query parameter, unescaped; "" when it is not there. */
-static char *query_of(const char *target, const char *name)
+static char *get_query_parameter(const char *target, const char *name)
 {
     char *pattern = g_strdup_printf("[?&]%s=([^&]*)", name);
     GRegex *regex = g_regex_new(pattern, 0, 0, NULL);
@@ -142,23 +142,23 @@
         strcmp(key, listing->after) <= 0) {
         return FALSE;
     }
-    if (json_array_size(listing->items) >= listing->store->page) {
+    if (json_array_size(listing->items) >= listing->store->page_size) {
         listing->has_more = true;
         return TRUE;
     }
-    json_array_append_new(listing->items, describe(value));
+    json_array_append_new(listing->items, change_to_json(value));
     return FALSE;
 }
 
-static void answer_list(lab_store_t *store, ts_caller_t *caller, const char *target)
+static void respond_to_list(lab_store_t *store, ts_caller_t *caller, const char *target)
 {
-    char *prefix = query_of(target, QUERY_PREFIX);
-    char *after = query_of(target, QUERY_AFTER);
+    char *prefix = get_query_parameter(target, QUERY_PREFIX);
+    char *after = get_query_parameter(target, QUERY_AFTER);
     listing_t listing = {store, prefix, after, json_array(), false};
     g_tree_foreach(store->entries, list_entry, &listing);
-    answer_json(store, caller,
-                json_pack("{s:o, s:b, s:I}", FIELD_ITEMS, listing.items, FIELD_MORE,
-                          listing.has_more, FIELD_AT, (json_int_t)store->revision));
+    respond_json(store, caller,
+                 json_pack("{s:o, s:b, s:I}", FIELD_ITEMS, listing.items, FIELD_MORE,
+                           listing.has_more, FIELD_AT, (json_int_t)store->revision));
     g_free(prefix);
     g_free(after);
 }
@@ -169,40 +169,40 @@
     for (guint i = 0; i < store->history->len; i++) {
         const change_t *change = g_ptr_array_index(store->history, i);
         if (change->revision > after && g_str_has_prefix(change->key, prefix)) {
-            json_array_append_new(events, describe(change));
+            json_array_append_new(events, change_to_json(change));
         }
     }
     return events;
 }
 
-static void answer_events(const lab_store_t *store, ts_caller_t *caller, json_t *events)
+static void respond_with_events(const lab_store_t *store, ts_caller_t *caller, json_t *events)
 {
-    answer_json(
+    respond_json(
         store, caller,
         json_pack("{s:o, s:I}", FIELD_EVENTS, events, FIELD_AT, (json_int_t)store->revision));
 }
 
-static void answer_watch(lab_store_t *store, ts_caller_t *caller, const char *target)
+static void respond_to_watch(lab_store_t *store, ts_caller_t *caller, const char *target)
 {
-    char *prefix = query_of(target, QUERY_PREFIX);
-    char *after_text = query_of(target, QUERY_AFTER);
-    char *wait_text = query_of(target, QUERY_WAIT);
+    char *prefix = get_query_parameter(target, QUERY_PREFIX);
+    char *after_text = get_query_parameter(target, QUERY_AFTER);
+    char *wait_text = get_query_parameter(target, QUERY_WAIT);
     uint64_t after = strtoull(after_text, NULL, 10);
-    bool is_forgotten = store->mode == LAB_STORE_FORGETFUL || after < store->forgotten;
-    if (is_forgotten || after > store->revision) {
-        answer(store, caller, STATUS_GONE, NULL, 0);
+    bool is_dropped = store->mode == LAB_STORE_NO_HISTORY || after < store->dropped_revision;
+    if (is_dropped || after > store->revision) {
+        respond(store, caller, STATUS_GONE, NULL, 0);
     } else {
         json_t *events = changes_after(store, prefix, after);
         if (json_array_size(events) > 0) {
-            answer_events(store, caller, events);
+            respond_with_events(store, caller, events);
         } else {
             json_decref(events);
-            waiter_t *waiter = g_new0(waiter_t, 1);
-            waiter->caller = caller;
-            waiter->prefix = g_strdup(prefix);
-            waiter->after = after;
-            waiter->until_us = ts_clock_now_us() + strtoull(wait_text, NULL, 10) * TS_US_PER_MS;
-            g_ptr_array_add(store->waiters, waiter);
+            watch_t *watch = g_new0(watch_t, 1);
+            watch->caller = caller;
+            watch->prefix = g_strdup(prefix);
+            watch->after = after;
+            watch->until_us = ts_clock_now_us() + strtoull(wait_text, NULL, 10) * TS_US_PER_MS;
+            g_ptr_array_add(store->watches, watch);
         }
     }
     g_free(prefix);
@@ -210,67 +210,67 @@
     g_free(wait_text);
 }
 
-static void take_call(ts_caller_t *caller, void *context)
+static void handle_call(ts_caller_t *caller, void *context)
 {
     lab_store_t *store = context;
     const char *target = ts_caller_message(caller)->target->str;
-    store->calls++;
+    store->call_count++;
     switch (store->mode) {
-    case LAB_STORE_BUSY:
-        answer(store, caller, STATUS_BUSY, NULL, 0);
+    case LAB_STORE_UNAVAILABLE:
+        respond(store, caller, STATUS_UNAVAILABLE, NULL, 0);
         return;
     case LAB_STORE_THROTTLED:
-        answer(store, caller, STATUS_THROTTLED, NULL, 0);
+        respond(store, caller, STATUS_THROTTLED, NULL, 0);
         return;
     case LAB_STORE_SILENT:
         return;
-    case LAB_STORE_FORGETFUL:
+    case LAB_STORE_NO_HISTORY:
     case LAB_STORE_NORMAL:
         break;
     }
     if (g_str_has_prefix(target, CALL_RANGE)) {
-        answer_list(store, caller, target);
+        respond_to_list(store, caller, target);
     } else if (g_str_has_prefix(target, CALL_WATCH)) {
-        answer_watch(store, caller, target);
+        respond_to_watch(store, caller, target);
     } else {
-        answer(store, caller, STATUS_NOT_FOUND, NULL, 0);
+        respond(store, caller, STATUS_NOT_FOUND, NULL, 0);
     }
 }
 
-static void caller_left(ts_caller_t *caller, void *context)
+static void handle_caller_close(ts_caller_t *caller, void *context)
 {
     lab_store_t *store = context;
-    for (guint i = store->waiters->len; i > 0; i--) {
-        const waiter_t *waiter = g_ptr_array_index(store->waiters, i - 1);
-        if (waiter->caller == caller) {
-            g_ptr_array_remove_index(store->waiters, i - 1);
+    for (guint i = store->watches->len; i > 0; i--) {
+        const watch_t *watch = g_ptr_array_index(store->watches, i - 1);
+        if (watch->caller == caller) {
+            g_ptr_array_remove_index(store->watches, i - 1);
         }
     }
 }
 
-static const ts_listener_ops_t store_ops = {take_call, caller_left};
+static const ts_listener_ops_t store_ops = {handle_call, handle_caller_close};
 
 /* Answers the watches that something came for, or whose time is over. */
-static void serve_waiters(lab_store_t *store)
+static void answer_due_watches(lab_store_t *store)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    for (guint i = store->waiters->len; i > 0 && store->mode != LAB_STORE_SILENT; i--) {
-        waiter_t *waiter = g_ptr_array_index(store->waiters, i - 1);
-        json_t *events = changes_after(store, waiter->prefix, waiter->after);
-        bool is_due = json_array_size(events) > 0 || now_us >= waiter->until_us;
+    for (guint i = store->watches->len; i > 0 && store->mode != LAB_STORE_SILENT; i--) {
+        watch_t *watch = g_ptr_array_index(store->watches, i - 1);
+        json_t *events = changes_after(store, watch->prefix, watch->after);
+        bool is_due = json_array_size(events) > 0 || now_us >= watch->until_us;
         if (!is_due) {
             json_decref(events);
             continue;
         }
-        ts_caller_t *caller = waiter->caller;
-        g_ptr_array_remove_index(store->waiters, i - 1);
-        answer_events(store, caller, events);
+        ts_caller_t *caller = watch->caller;
+        g_ptr_array_remove_index(store->watches, i - 1);
+        respond_with_events(store, caller, events);
     }
 }
 
 static void tick(uv_timer_t *timer)
 {
-    serve_waiters(timer->data);
+    answer_due_watches(timer->data);
 }
 
 static gint compare_keys(gconstpointer left, gconstpointer right, gpointer data)
@@ -286,48 +286,48 @@
     store->listener = ts_listener_open(loop, address, &store_ops, store);
     store->entries = g_tree_new_full(compare_keys, NULL, g_free, free_change);
     store->history = g_ptr_array_new_with_free_func(free_change);
-    store->waiters = g_ptr_array_new_with_free_func(free_waiter);
+    store->watches = g_ptr_array_new_with_free_func(free_watch);
     store->copy = g_ptr_array_new_with_free_func(free_change);
-    store->written = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    store->last_writes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     store->epoch = 1;
-    store->page = PAGE_DEFAULT;
+    store->page_size = PAGE_DEFAULT;
     uv_timer_init(loop, &store->tick);
     store->tick.data = store;
     uv_timer_start(&store->tick, tick, TICK_MS, TICK_MS);
     return store->listener == NULL ? NULL : store;
 }
 
-static void note_change(lab_store_t *store, const char *key, const char *value)
+static void record_change(lab_store_t *store, const char *key, const char *value)
 {
     store->revision++;
-    store->writes++;
-    g_hash_table_insert(store->written, g_strdup(key), GSIZE_TO_POINTER(store->writes));
+    store->write_count++;
+    g_hash_table_insert(store->last_writes, g_strdup(key), GSIZE_TO_POINTER(store->write_count));
     g_ptr_array_add(store->history, create_change(store->revision, key, value));
 }
 
 void lab_store_put(lab_store_t *store, const char *key, const char *value)
 {
-    note_change(store, key, value);
+    record_change(store, key, value);
     g_tree_replace(store->entries, g_strdup(key), create_change(store->revision, key, value));
-    serve_waiters(store);
+    answer_due_watches(store);
 }
 
 void lab_store_delete(lab_store_t *store, const char *key)
 {
-    note_change(store, key, NULL);
+    record_change(store, key, NULL);
     g_tree_remove(store->entries, key);
-    serve_waiters(store);
+    answer_due_watches(store);
 }
 
-void lab_store_forget(lab_store_t *store)
+void lab_store_drop_history(lab_store_t *store)
 {
-    store->forgotten = store->revision + 1;
+    store->dropped_revision = store->revision + 1;
     store->revision++;
     g_ptr_array_set_size(store->history, 0);
-    while (store->waiters->len > 0) {
-        ts_caller_t *caller = ((waiter_t *)g_ptr_array_index(store->waiters, 0))->caller;
-        g_ptr_array_remove_index(store->waiters, 0);
-        answer(store, caller, STATUS_GONE, NULL, 0);
+    while (store->watches->len > 0) {
+        ts_caller_t *caller = ((watch_t *)g_ptr_array_index(store->watches, 0))->caller;
+        g_ptr_array_remove_index(store->watches, 0);
+        respond(store, caller, STATUS_GONE, NULL, 0);
     }
 }
 
@@ -346,7 +346,7 @@
 }
 
 /* Keys of the history after the copy, each once, in no order. */
-static GHashTable *keys_since_copy(const lab_store_t *store)
+static GHashTable *collect_keys_since_copy(const lab_store_t *store)
 {
     GHashTable *keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     for (guint i = 0; i < store->history->len; i++) {
@@ -357,9 +357,9 @@
     return keys;
 }
 
-static void tell_lost(const lab_store_t *store, lab_store_lost_t lost, void *ctx)
+static void report_lost_writes(const lab_store_t *store, lab_store_lost_write_t lost, void *ctx)
 {
-    GHashTable *keys = keys_since_copy(store);
+    GHashTable *keys = collect_keys_since_copy(store);
     GHashTableIter iterator;
     gpointer key = NULL;
     g_hash_table_iter_init(&iterator, keys);
@@ -370,14 +370,14 @@
     g_hash_table_unref(keys);
 }
 
-uint64_t lab_store_writes(const lab_store_t *store)
+uint64_t lab_store_write_count(const lab_store_t *store)
 {
-    return store->writes;
+    return store->write_count;
 }
 
-void lab_store_write_again(lab_store_t *store, const char *key, const char *value, uint64_t writes)
+void lab_store_rewrite(lab_store_t *store, const char *key, const char *value, uint64_t write_count)
 {
-    if (GPOINTER_TO_SIZE(g_hash_table_lookup(store->written, key)) > writes)
+    if (GPOINTER_TO_SIZE(g_hash_table_lookup(store->last_writes, key)) > write_count)
         return;
     if (value != NULL)
         lab_store_put(store, key, value);
@@ -385,10 +385,10 @@
         lab_store_delete(store, key);
 }
 
-void lab_store_restore(lab_store_t *store, lab_store_lost_t lost, void *ctx)
+void lab_store_restore(lab_store_t *store, lab_store_lost_write_t lost, void *ctx)
 {
     if (lost != NULL)
-        tell_lost(store, lost, ctx);
+        report_lost_writes(store, lost, ctx);
     g_tree_remove_all(store->entries);
     for (guint i = 0; i < store->copy->len; i++) {
         const change_t *change = g_ptr_array_index(store->copy, i);
@@ -396,9 +396,9 @@
                        create_change(change->revision, change->key, change->value));
     }
     g_ptr_array_set_size(store->history, 0);
-    g_ptr_array_set_size(store->waiters, 0);
+    g_ptr_array_set_size(store->watches, 0);
     store->revision = store->copy_revision;
-    store->forgotten = store->copy_revision;
+    store->dropped_revision = store->copy_revision;
     if (store->epoch > 0)
         store->epoch++;
 }
@@ -417,25 +417,25 @@
 {
     store->mode = mode;
     if (mode == LAB_STORE_SILENT) {
-        g_ptr_array_set_size(store->waiters, 0); /* the calls that wait are never answered */
+        g_ptr_array_set_size(store->watches, 0); /* the calls that wait are never answered */
     }
 }
 
-void lab_store_cut_waits(lab_store_t *store)
+void lab_store_fail_watches(lab_store_t *store)
 {
-    while (store->waiters->len > 0) {
-        ts_caller_t *caller = ((waiter_t *)g_ptr_array_index(store->waiters, 0))->caller;
-        g_ptr_array_remove_index(store->waiters, 0);
-        answer(store, caller, STATUS_BUSY, NULL, 0);
+    while (store->watches->len > 0) {
+        ts_caller_t *caller = ((watch_t *)g_ptr_array_index(store->watches, 0))->caller;
+        g_ptr_array_remove_index(store->watches, 0);
+        respond(store, caller, STATUS_UNAVAILABLE, NULL, 0);
     }
 }
 
-void lab_store_set_page(lab_store_t *store, unsigned entries)
+void lab_store_set_page_size(lab_store_t *store, unsigned entries)
 {
-    store->page = entries;
+    store->page_size = entries;
 }
 
-unsigned lab_store_calls(const lab_store_t *store)
+unsigned lab_store_call_count(const lab_store_t *store)
 {
-    return store->calls;
+    return store->call_count;
 }
--- a/tests/gateway/test_callers.c
+++ b/tests/gateway/test_callers.c
@@ -103,8 +103,8 @@
                         "\r\nGET /p/2 HTTP/1.1\r\n" REQUIRED_FIELDS "\r\n");
     assert_true(fixture_run_until(fixture, &searcher->runs, 2));
     fixture_run_ms(fixture, 20);
-    assert_true(g_str_has_prefix(g_ptr_array_index(searcher->heads, 0), "GET /p/1"));
-    assert_true(g_str_has_prefix(g_ptr_array_index(searcher->heads, 1), "GET /p/2"));
+    assert_true(g_str_has_prefix(g_ptr_array_index(searcher->requests, 0), "GET /p/1"));
+    assert_true(g_str_has_prefix(g_ptr_array_index(searcher->requests, 1), "GET /p/2"));
     const char *second_response = strstr(client->received->str + 5, "HTTP/1.1 200");
     assert_non_null(second_response);
     assert_false(client->is_closed_by_peer);
@@ -121,7 +121,7 @@
     assert_true(g_str_has_prefix(client->received->str, "HTTP/1.1 100 "));
     client_send(client, "abc");
     assert_int_equal(client_await_response(fixture, client), 200);
-    assert_null(strstr(g_ptr_array_index(searcher->heads, 0), "\r\nExpect:"));
+    assert_null(strstr(g_ptr_array_index(searcher->requests, 0), "\r\nExpect:"));
 }
 
 static void test_readiness(void **state)
--- a/tests/gateway/test_churn.c
+++ b/tests/gateway/test_churn.c
@@ -65,9 +65,9 @@
     for (guint i = 0; i < churn->searchers->len; i++) {
         lab_searcher_t *searcher = g_ptr_array_index(churn->searchers, i);
         bool is_healthy = g_rand_int_range(churn->random, 0, 3) > 0;
-        searcher->behaviour =
-            is_healthy ? LAB_ANSWERS
-                       : (lab_behaviour_t)g_rand_int_range(churn->random, 0, LAB_CLOSES_AFTER + 1);
+        searcher->behaviour = is_healthy ? LAB_ANSWERS
+                                         : (lab_searcher_behaviour_t)g_rand_int_range(
+                                               churn->random, 0, LAB_CLOSES_AFTER + 1);
         searcher->delay_ms = (unsigned)g_rand_int_range(churn->random, 0, 40);
     }
 }
--- a/tests/gateway/test_crashing_requests.c
+++ b/tests/gateway/test_crashing_requests.c
@@ -39,7 +39,7 @@
     g_snprintf(id, sizeof(id), "i-%u", fleet->searchers_started++);
     lab_searcher_t *searcher =
         fixture_register_searcher(fleet->fixture, id, services[shard], zones[replica % 2]);
-    searcher->crashes_on = FATAL_TARGET;
+    searcher->crash_target = FATAL_TARGET;
     searcher->delay_ms = SERVICE_TIME_MS;
     fleet->searchers[shard][replica] = searcher;
 }
@@ -49,7 +49,7 @@
 {
     for (unsigned i = 0; i < SHARDS; i++) {
         for (unsigned j = 0; j < REPLICAS; j++) {
-            if (!fleet->searchers[i][j]->has_ended)
+            if (!fleet->searchers[i][j]->has_crashed)
                 continue;
             char *key = g_strdup_printf("servers/%s", fleet->searchers[i][j]->id);
             lab_store_delete(fleet->fixture->store, key);
@@ -274,7 +274,7 @@
     fleet_t fleet = open_fleet(ROUTES);
     for (unsigned i = 0; i < SHARDS; i++) {
         for (unsigned j = 0; j < REPLICAS; j++)
-            fleet.searchers[i][j]->behaviour = LAB_BREAKS_OFF;
+            fleet.searchers[i][j]->behaviour = LAB_TRUNCATES;
     }
     for (unsigned i = 0; i < 6; i++)
         assert_int_not_equal(fetch_status(&fleet, i % NODES, "/g/popular"), 200);
@@ -329,7 +329,7 @@
  */
 static void test_new_incarnation_is_not_taken_for_the_old_one(void **state)
 {
-    static const lab_searcher_ops_t ops = {.ended = restart_immediately};
+    static const lab_searcher_ops_t ops = {.on_crash = restart_immediately};
     fleet_t fleet = open_fleet(ROUTES);
     unsigned restarted_for_ms[SHARDS][REPLICAS] = {0};
     uint64_t registered_born_ms[SHARDS][REPLICAS];
--- a/tests/gateway/test_forwarding.c
+++ b/tests/gateway/test_forwarding.c
@@ -37,7 +37,7 @@
                         "X-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"
                         "0\r\n\r\n");
     assert_int_equal(client_await_response(fixture, client), 200);
-    const char *text = g_ptr_array_index(searcher->heads, 0);
+    const char *text = g_ptr_array_index(searcher->requests, 0);
     assert_true(g_str_has_prefix(text, "POST /p/x%20y?q=1&r=\r\n"));
     assert_true(g_str_has_suffix(text, "\r\n\r\nabcde"));
     assert_non_null(strstr(text, "\r\nX-Own: a, b\r\n"));
@@ -45,7 +45,7 @@
     assert_non_null(strstr(text, "\r\nX-Expected-Instance: i-1\r\n"));
     assert_null(strstr(text, "forged"));
     assert_null(strstr(text, "X-Hop"));
-    char *deadline_left = lab_searcher_last_field(searcher, "X-Deadline-Ms");
+    char *deadline_left = lab_searcher_last_header(searcher, "X-Deadline-Ms");
     assert_true(atoi(deadline_left) > 500 && atoi(deadline_left) <= 900);
     g_free(deadline_left);
     assert_non_null(ts_http_message_find(&client->response, "X-Server-Stamp"));
@@ -59,7 +59,7 @@
     fixture_t *fixture = open_single_route("idempotent", &searcher, NULL);
     client_get(fixture, "/p/x", "r1", 60000, &status);
     assert_int_equal(status, 200);
-    char *deadline_left = lab_searcher_last_field(searcher, "X-Deadline-Ms");
+    char *deadline_left = lab_searcher_last_header(searcher, "X-Deadline-Ms");
     assert_true(atoi(deadline_left) <= 1500);
     g_free(deadline_left);
 }
@@ -80,7 +80,7 @@
  * A request that fails in the given way is retried on another instance, and the client never gets a
  * wrong body. `is_failure`: whether it raises the failure rate of the first instance.
  */
-static void check_retried(lab_behaviour_t behaviour, bool is_failure)
+static void check_retried(lab_searcher_behaviour_t behaviour, bool is_failure)
 {
     lab_searcher_t *first = NULL;
     lab_searcher_t *second = NULL;
@@ -99,7 +99,7 @@
 
 static void test_truncated_response(void **state)
 {
-    check_retried(LAB_BREAKS_OFF, true);
+    check_retried(LAB_TRUNCATES, true);
 }
 /*
  * libuv reports a reset as an end of stream if it arrives with a short read: the truncated body
@@ -107,11 +107,11 @@
  */
 static void test_reset_response_without_length(void **state)
 {
-    check_retried(LAB_UNFRAMED_RESET, true);
+    check_retried(LAB_CLOSE_DELIMITED_RESET, true);
 }
 static void test_response_with_wrong_request_id(void **state)
 {
-    check_retried(LAB_FOREIGN_ID, true);
+    check_retried(LAB_WRONG_ID, true);
 }
 static void test_unsigned_response(void **state)
 {
@@ -123,7 +123,7 @@
 }
 static void test_malformed_response(void **state)
 {
-    check_retried(LAB_GARBAGE, true);
+    check_retried(LAB_MALFORMED, true);
 }
 static void test_overloaded_backend(void **state)
 {
@@ -143,7 +143,7 @@
     lab_searcher_t *searcher = NULL;
     unsigned status = 0;
     fixture_t *fixture = open_single_route("idempotent", &searcher, NULL);
-    searcher->behaviour = LAB_UNFRAMED;
+    searcher->behaviour = LAB_CLOSE_DELIMITED;
     client_t *client = client_get(fixture, "/p/x", "r1", 1400, &status);
     assert_int_equal(status, 200);
     assert_body(client, "0123456789abcdef");
@@ -197,7 +197,7 @@
     lab_searcher_t *second = NULL;
     unsigned status = 0;
     fixture_t *fixture = open_single_route("non_idempotent", &first, &second);
-    first->behaviour = LAB_BREAKS_OFF;
+    first->behaviour = LAB_TRUNCATES;
     client_get(fixture, "/p/x", "r1", 1400, &status);
     assert_int_equal(status, 502);
     assert_int_equal(first->runs + second->runs, 1);
@@ -264,7 +264,7 @@
     assert_true(fixture_run_until(fixture, &first->runs, 1));
     client_close(client);
     fixture_run_ms(fixture, 480);
-    assert_int_equal(first->closed_early, 1);
+    assert_int_equal(first->closed_while_busy, 1);
     assert_int_equal(fixture->gateway.requests, 0);
 }
 
--- a/tests/gateway/test_peers.c
+++ b/tests/gateway/test_peers.c
@@ -80,10 +80,10 @@
 static void test_lost_poll_of_a_watcher(void **state)
 {
     fleet_t fleet = open_fleet();
-    unsigned calls_before = lab_store_calls(fleet.fixture->store);
+    unsigned calls_before = lab_store_call_count(fleet.fixture->store);
     fixture_run_ms(fleet.fixture, 5000);
     // each of the two watchers: five probes and at most one poll
-    assert_true(lab_store_calls(fleet.fixture->store) - calls_before <= 2 * 6);
+    assert_true(lab_store_call_count(fleet.fixture->store) - calls_before <= 2 * 6);
     lab_store_set_mode(fleet.fixture->store, LAB_STORE_SILENT);
     lab_store_put(fleet.fixture->store, "op/config",
                   "{\"version\":2,\"routes\":[" ROUTE_A "],\"services\":[]}");
--- a/tests/gateway/test_silent_links.c
+++ b/tests/gateway/test_silent_links.c
@@ -75,9 +75,9 @@
     pair_t pair = open_pair();
     int64_t unheard_before = ts_counter_value(TS_COUNTER_PEERS_UNHEARD);
     if (stalls_first)
-        lab_link_swallow(pair.links[0]);
+        lab_link_blackhole(pair.links[0]);
     if (stalls_second)
-        lab_link_swallow(pair.links[1]);
+        lab_link_blackhole(pair.links[1]);
     lab_store_put(pair.fixture->store, "op/config", CONFIGURATION(2));
     ts_time_us_t start_us = ts_clock_now_us();
     assert_true(fixture_await_synced(pair.fixture, pair.nodes[1], 2, 1));
--- a/tests/gateway/test_store_epochs.c
+++ b/tests/gateway/test_store_epochs.c
@@ -38,8 +38,8 @@
 
 static void restore_store(fixture_t *fixture)
 {
-    lab_store_set_mode(fixture->store, LAB_STORE_BUSY);
-    lab_store_cut_waits(fixture->store);
+    lab_store_set_mode(fixture->store, LAB_STORE_UNAVAILABLE);
+    lab_store_fail_watches(fixture->store);
     fixture_run_ms(fixture, 300);
     lab_store_restore(fixture->store, NULL, NULL);
     lab_store_set_mode(fixture->store, LAB_STORE_NORMAL);
@@ -63,9 +63,9 @@
 
 static unsigned count_calls_per_second(fixture_t *fixture)
 {
-    unsigned calls_before = lab_store_calls(fixture->store);
+    unsigned calls_before = lab_store_call_count(fixture->store);
     fixture_run_ms(fixture, 1000);
-    return lab_store_calls(fixture->store) - calls_before;
+    return lab_store_call_count(fixture->store) - calls_before;
 }
 
 static void test_restore_of_store_without_epochs(void **state)
@@ -112,7 +112,7 @@
 static void test_restore_while_list_is_read(void **state)
 {
     fixture_t *fixture = fixture_open(NULL);
-    lab_store_set_page(fixture->store, 1);
+    lab_store_set_page_size(fixture->store, 1);
     for (int i = 0; i < 40; i++) {
         char id[16];
         g_snprintf(id, sizeof(id), "i-%d", i);
@@ -123,11 +123,11 @@
     put_unrelated_changes(fixture);
     fixture_put_config(fixture, 2, ROUTE_A);
     restore_store(fixture);
-    unsigned calls_before = lab_store_calls(fixture->store);
-    for (int i = 0; i < 1000 && lab_store_calls(fixture->store) < calls_before + 5; i++)
+    unsigned calls_before = lab_store_call_count(fixture->store);
+    for (int i = 0; i < 1000 && lab_store_call_count(fixture->store) < calls_before + 5; i++)
         fixture_run_ms(fixture, 1);
     // the list is still being read
-    assert_true(lab_store_calls(fixture->store) < calls_before + 40);
+    assert_true(lab_store_call_count(fixture->store) < calls_before + 40);
     lab_store_restore(fixture->store, NULL, NULL);
     put_version(fixture, 9);
     assert_true(await_version(fixture, &fixture->gateway, 9));
@@ -143,7 +143,7 @@
     fixture_put_config(fixture, 1, ROUTE_A);
     lab_store_set_epoch(fixture->store, epoch);
     lab_store_delete(fixture->store, "servers/i-1");
-    lab_store_cut_waits(fixture->store);
+    lab_store_fail_watches(fixture->store);
     assert_true(count_calls_per_second(fixture) <= CALLS_PER_SECOND_MAX);
     assert_true(count_calls_per_second(fixture) <= CALLS_PER_SECOND_MAX);
     assert_true(is_listed(&fixture->gateway, "i-1"));
--- a/tests/gateway/test_store_restore.c
+++ b/tests/gateway/test_store_restore.c
@@ -84,10 +84,10 @@
 static void measure_calls(fleet_t *fleet, unsigned duration_ms)
 {
     for (unsigned i = 0; i < duration_ms / 1000; i++) {
-        unsigned calls_before = lab_store_calls(fleet->store);
+        unsigned calls_before = lab_store_call_count(fleet->store);
         fixture_run_ms(fleet->fixture, 1000);
         fleet->max_calls_per_second =
-            MAX(fleet->max_calls_per_second, lab_store_calls(fleet->store) - calls_before);
+            MAX(fleet->max_calls_per_second, lab_store_call_count(fleet->store) - calls_before);
     }
 }
 
@@ -110,8 +110,8 @@
 
 static void stop_store(fleet_t *fleet)
 {
-    lab_store_set_mode(fleet->store, LAB_STORE_BUSY);
-    lab_store_cut_waits(fleet->store);
+    lab_store_set_mode(fleet->store, LAB_STORE_UNAVAILABLE);
+    lab_store_fail_watches(fleet->store);
     fixture_run_ms(fleet->fixture, OUTAGE_MS);
 }
 
--- a/tests/gateway/test_store_watch.c
+++ b/tests/gateway/test_store_watch.c
@@ -8,7 +8,7 @@
 static void test_paginated_list(void **state)
 {
     fixture_t *fixture = fixture_open(NULL);
-    lab_store_set_page(fixture->store, 2);
+    lab_store_set_page_size(fixture->store, 2);
     for (int i = 0; i < 5; i++) {
         char id[16];
         g_snprintf(id, sizeof(id), "i-%d", i);
@@ -45,7 +45,7 @@
     lab_store_put(fixture->store, "op/config",
                   "{\"version\":9,\"routes\":[" ROUTE_A "],\"services\":[]}");
     lab_store_set_mode(fixture->store, LAB_STORE_NORMAL);
-    lab_store_forget(fixture->store);
+    lab_store_drop_history(fixture->store);
     fixture_await_version(fixture, 9);
     assert_int_equal(fixture->gateway.traffic->version, 9);
     assert_int_equal(ts_registry_count_listed(fixture->gateway.registry), 1);
@@ -86,10 +86,10 @@
     fixture_t *fixture = fixture_open(NULL);
     fixture_put_config(fixture, 1, ROUTE_A);
     lab_store_set_mode(fixture->store, LAB_STORE_THROTTLED);
-    lab_store_forget(fixture->store); /* ends the watch: the next call is refused */
-    unsigned calls_before = lab_store_calls(fixture->store);
+    lab_store_drop_history(fixture->store); /* ends the watch: the next call is refused */
+    unsigned calls_before = lab_store_call_count(fixture->store);
     fixture_run_ms(fixture, 2000);
-    assert_true(lab_store_calls(fixture->store) - calls_before < 10); /* calls are billed */
+    assert_true(lab_store_call_count(fixture->store) - calls_before < 10); /* calls are billed */
     lab_store_set_mode(fixture->store, LAB_STORE_NORMAL);
     fixture_put_config(fixture, 2, ROUTE_A);
     assert_int_equal(fixture->gateway.traffic->version, 2);
@@ -100,12 +100,12 @@
 {
     fixture_t *fixture = fixture_open(NULL);
     fixture_put_config(fixture, 1, ROUTE_A);
-    lab_store_set_mode(fixture->store, LAB_STORE_FORGETFUL);
-    lab_store_cut_waits(fixture->store);
+    lab_store_set_mode(fixture->store, LAB_STORE_NO_HISTORY);
+    lab_store_fail_watches(fixture->store);
     fixture_run_ms(fixture, 2000);
-    unsigned calls_before = lab_store_calls(fixture->store);
+    unsigned calls_before = lab_store_call_count(fixture->store);
     fixture_run_ms(fixture, 2000);
-    assert_true(lab_store_calls(fixture->store) - calls_before <= 10); /* calls are billed */
+    assert_true(lab_store_call_count(fixture->store) - calls_before <= 10); /* calls are billed */
     fixture_put_config(fixture, 2, ROUTE_A);
     assert_int_equal(fixture->gateway.traffic->version, 2);
     lab_store_set_mode(fixture->store, LAB_STORE_NORMAL);
@@ -147,9 +147,9 @@
 {
     fixture_t *fixture = fixture_open(NULL);
     fixture_put_config(fixture, 1, ROUTE_A);
-    unsigned calls_before = lab_store_calls(fixture->store);
+    unsigned calls_before = lab_store_call_count(fixture->store);
     fixture_run_ms(fixture, 2000);
-    assert_true(lab_store_calls(fixture->store) - calls_before <= 2);
+    assert_true(lab_store_call_count(fixture->store) - calls_before <= 2);
 }
 
 /* An invalid entry does not affect others; a valid one that becomes invalid counts as removed. */
--- a/tests/gateway/test_suspension.c
+++ b/tests/gateway/test_suspension.c
@@ -103,7 +103,7 @@
  */
 static void test_waiting_requests_are_refused(void **state)
 {
-    static const lab_searcher_ops_t ops = {.compose = suspend_and_compose};
+    static const lab_searcher_ops_t ops = {.compose_body = suspend_and_compose};
     fixture_t *fixture = fixture_open(NULL);
     lab_searcher_t *searcher = fixture_add_searcher(fixture, "i-1", "a", "z1");
     searcher->delay_ms = 30;
--- a/tests/gateway/test_tenants.c
+++ b/tests/gateway/test_tenants.c
@@ -67,7 +67,7 @@
 
 static const char *last_request(const lab_searcher_t *searcher)
 {
-    return g_ptr_array_index(searcher->heads, searcher->heads->len - 1);
+    return g_ptr_array_index(searcher->requests, searcher->requests->len - 1);
 }
 
 /* X-Tenant fields set by the client are never forwarded, in any spelling. */
@@ -167,7 +167,7 @@
     fixture_t *fixture = open_fixture("policy: naive", &first); // sends no hedges
     lab_searcher_t *second = fixture_add_searcher(fixture, "i-2", "a", "z2");
     first->delay_ms = 600;
-    first->behaviour = LAB_BREAKS_OFF;
+    first->behaviour = LAB_TRUNCATES;
     client_t *client = client_connect(fixture, fixture->callers_port);
     client_send(client, "GET /p/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r\r\n"
                         "X-Deadline-Ms: 2500\r\nAuthorization: Bearer red-1\r\n\r\n");
--- a/tests/lab/test_fuzz.c
+++ b/tests/lab/test_fuzz.c
@@ -14,7 +14,7 @@
 {
     uint64_t answered = 0;
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-        GArray *actions = lab_fuzz_draw(seed, ACTIONS);
+        GArray *actions = lab_fuzz_generate(seed, ACTIONS);
         lab_finding_t finding = lab_fuzz_run(seed, actions);
         if (finding.is_broken) {
             fail_msg("seed %lu: %s", (unsigned long)seed, finding.text);
@@ -34,7 +34,7 @@
         31539,   /* a node that started asked the one other of its zone, which stood still, only */
     };
     for (size_t i = 0; i < G_N_ELEMENTS(seeds); i++) {
-        GArray *actions = lab_fuzz_draw(seeds[i], ACTIONS);
+        GArray *actions = lab_fuzz_generate(seeds[i], ACTIONS);
         lab_finding_t finding = lab_fuzz_run(seeds[i], actions);
         if (finding.is_broken) {
             fail_msg("seed %lu: %s", (unsigned long)seeds[i], finding.text);
@@ -45,7 +45,7 @@
 
 static void test_a_seed_replays_exactly(void **state)
 {
-    GArray *actions = lab_fuzz_draw(11, ACTIONS);
+    GArray *actions = lab_fuzz_generate(11, ACTIONS);
     lab_finding_t first = lab_fuzz_run(11, actions);
     lab_finding_t second = lab_fuzz_run(11, actions);
     assert_true(first.steps == second.steps);
--- a/tests/lab/test_ports.c
+++ b/tests/lab/test_ports.c
@@ -12,43 +12,43 @@
 #include "../gateway/fixture.h"
 
 #define PROGRAMS 30
-#define PORTS_EACH 150
+#define PORTS_PER_PROGRAM 150
 #define PORTS_END 65536
 
 /* Draws ports, tells them, and lives on until the other end of `stay` is closed. */
-static void draw_ports(int told, int stay)
+static void allocate_ports(int ports_fd, int exit_fd)
 {
     char end = 0;
-    for (unsigned i = 0; i < PORTS_EACH; i++) {
+    for (unsigned i = 0; i < PORTS_PER_PROGRAM; i++) {
         unsigned port = fixture_next_port();
-        if (write(told, &port, sizeof(port)) != sizeof(port))
+        if (write(ports_fd, &port, sizeof(port)) != sizeof(port))
             _exit(EXIT_FAILURE);
     }
-    (void)!read(stay, &end, 1);
+    (void)!read(exit_fd, &end, 1);
     _exit(EXIT_SUCCESS);
 }
 
 static void test_programs_at_once_get_other_ports(void **state)
 {
-    static unsigned times[PORTS_END];
-    int told[2];
-    int stay[2];
+    static unsigned counts[PORTS_END];
+    int ports_fd[2];
+    int exit_fd[2];
     unsigned twice = 0;
-    assert_int_equal(pipe(told), 0);
-    assert_int_equal(pipe(stay), 0);
+    assert_int_equal(pipe(ports_fd), 0);
+    assert_int_equal(pipe(exit_fd), 0);
     for (unsigned i = 0; i < PROGRAMS; i++) {
         if (fork() == 0) {
-            close(stay[1]);
-            draw_ports(told[1], stay[0]);
+            close(exit_fd[1]);
+            allocate_ports(ports_fd[1], exit_fd[0]);
         }
     }
-    for (unsigned i = 0; i < PROGRAMS * PORTS_EACH; i++) {
+    for (unsigned i = 0; i < PROGRAMS * PORTS_PER_PROGRAM; i++) {
         unsigned port = 0;
-        assert_int_equal(read(told[0], &port, sizeof(port)), sizeof(port));
+        assert_int_equal(read(ports_fd[0], &port, sizeof(port)), sizeof(port));
         assert_in_range(port, 1, PORTS_END - 1);
-        twice += ++times[port] > 1;
+        twice += ++counts[port] > 1;
     }
-    close(stay[1]);
+    close(exit_fd[1]);
     for (unsigned i = 0; i < PROGRAMS; i++)
         (void)wait(NULL);
     assert_int_equal(twice, 0);
--- a/tests/lab/test_soak_checks.c
+++ b/tests/lab/test_soak_checks.c
@@ -14,7 +14,7 @@
     return id[0] >= '1' && id[0] <= '3' ? names[id[0] - '1'] : NULL;
 }
 
-static gint compare_falling(gconstpointer left, gconstpointer right)
+static gint compare_descending(gconstpointer left, gconstpointer right)
 {
     return memcmp(right, left, TS_RECORD_BYTES);
 }
@@ -25,8 +25,8 @@
     GString *body = g_string_new(NULL);
     soak_compose_body("a", request_id, body);
     soak_compose_body("b", request_id, body);
-    qsort(body->str, body->len / TS_RECORD_BYTES, TS_RECORD_BYTES, compare_falling);
-    g_string_truncate(body, SOAK_TOP * TS_RECORD_BYTES);
+    qsort(body->str, body->len / TS_RECORD_BYTES, TS_RECORD_BYTES, compare_descending);
+    g_string_truncate(body, SOAK_TOP_RECORDS * TS_RECORD_BYTES);
     return body;
 }
 
@@ -77,13 +77,13 @@
     soak_budget_log_t log = {g_array_new(FALSE, FALSE, sizeof(ts_time_us_t)),
                              g_array_new(FALSE, FALSE, sizeof(ts_time_us_t))};
     add(log.requests, 100, 100 * SECOND, SECOND / 10); /* ten a second for ten seconds */
-    add(log.extras, 24, 105 * SECOND, SECOND / 5);
+    add(log.extra_arrivals, 24, 105 * SECOND, SECOND / 5);
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 5) <= 0);
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 3) > 0);
-    add(log.extras, 10, 130 * SECOND, SECOND / 100); /* long after the last request */
+    add(log.extra_arrivals, 10, 130 * SECOND, SECOND / 100); /* long after the last request */
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 9) > 0);
     g_array_unref(log.requests);
-    g_array_unref(log.extras);
+    g_array_unref(log.extra_arrivals);
 }
 
 /* A searcher that is cold gets one request too many within a second. */
@@ -103,14 +103,14 @@
 static void test_most_within_a_window(void **state)
 {
     GArray *times = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
-    assert_int_equal(soak_most_within(times, SECOND), 0);
+    assert_int_equal(soak_max_within(times, SECOND), 0);
     for (ts_time_us_t at_us = 10 * SECOND; at_us < 20 * SECOND; at_us += SECOND / 2)
         g_array_append_val(times, at_us);
-    assert_int_equal(soak_most_within(times, 5 * SECOND), 10);
+    assert_int_equal(soak_max_within(times, 5 * SECOND), 10);
     ts_time_us_t more_us = 20 * SECOND - 1; // one more within the last window alone
     g_array_append_val(times, more_us);
-    assert_int_equal(soak_most_within(times, 5 * SECOND), 11);
-    assert_int_equal(soak_most_within(times, SECOND / 4), 1);
+    assert_int_equal(soak_max_within(times, 5 * SECOND), 11);
+    assert_int_equal(soak_max_within(times, SECOND / 4), 1);
     g_array_unref(times);
 }
 
--- a/tests/scripted/run_script.c
+++ b/tests/scripted/run_script.c
@@ -54,10 +54,10 @@
 
 static const struct {
     const char *word;
-    lab_behaviour_t behaviour;
+    lab_searcher_behaviour_t behaviour;
 } behaviours[] = {
-    {"answers", LAB_ANSWERS},     {"sheds", LAB_SHEDS},           {"fails", LAB_FAILS},
-    {"hangs", LAB_HANGS},         {"breaks_off", LAB_BREAKS_OFF}, {"garbage", LAB_GARBAGE},
+    {"answers", LAB_ANSWERS},     {"sheds", LAB_SHEDS},          {"fails", LAB_FAILS},
+    {"hangs", LAB_HANGS},         {"breaks_off", LAB_TRUNCATES}, {"garbage", LAB_MALFORMED},
     {"twice", LAB_ANSWERS_TWICE},
 };
 
@@ -119,7 +119,7 @@
 
 static void set_forgets(script_t *s, char **words, guint n)
 {
-    find_searcher(s, words[1])->forgets_ms = (unsigned)atoi(words[2]);
+    find_searcher(s, words[1])->idle_reset_ms = (unsigned)atoi(words[2]);
 }
 
 static void set_limit(script_t *s, char **words, guint n)
@@ -266,7 +266,7 @@
 
 static void print_resets(script_t *s, char **words, guint n)
 {
-    g_string_append_printf(s->out, "%u\n", find_searcher(s, words[1])->resets);
+    g_string_append_printf(s->out, "%u\n", find_searcher(s, words[1])->connections_reset);
 }
 
 static void print_runs_of(script_t *s, char **words, guint n)
