--- a/lab/fault_proxy.c
+++ b/lab/fault_proxy.c
@@ -1,8 +1,9 @@
 /**
- * `tealspar-lab fault-proxy`: a TCP proxy for the links between nodes. It knows the zone of both
- * ends (of the dialling end by its address) and can delay, hold, reset or half-open the traffic
- * between zones. POST /control with {"zone": Z, "mode": M} sets the mode between a zone and all
- * others ("*" as zone: between all zones); modes: pass, blackhole, reset, half_open.
+ * `tealspar-lab fault-proxy`: a TCP proxy for the links between nodes. It knows the zones of both
+ * ends (the client's by its address) and can delay or hold traffic between zones, hold it in one
+ * direction only, or reset connections. POST /control with {"zone": Z, "mode": M} sets the mode
+ * between a zone and all others ("*": between all zones). Modes: pass, blackhole (hold both
+ * directions), reset, half_open (hold bytes to the server).
  */
 #include <jansson.h>
 #include <signal.h>
@@ -27,8 +28,8 @@
     char *name;
     char *zone;
     char *region;
-    char *listen; /* what the node advertises */
-    char *target; /* where the node listens */
+    char *listen; /* address that the node advertises */
+    char *target; /* address on which the node listens */
     lab_link_t *link;
 } link_t;
 
@@ -36,7 +37,7 @@
     char *control;
     double zone_delay_ms;
     double region_delay_ms;
-    double jitter_ms; /* added to the delays, evenly from 0 to this */
+    double jitter_ms; /* maximum of a uniformly distributed addition to each delay */
     link_t *links;
     unsigned links_count;
 } proxy_settings_t;
@@ -77,7 +78,7 @@
     return (lab_link_mode_t)GPOINTER_TO_INT(mode);
 }
 
-/* The link of the node that dials from an address; NULL when it is no known node. */
+/* Link of the node with a client address; NULL: unknown node. */
 static const link_t *find_source(const char *address)
 {
     size_t length = strlen(address);
--- a/lab/faults.c
+++ b/lab/faults.c
@@ -1,4 +1,4 @@
-/** The faults. */
+/** Execution of a scenario's faults. */
 #include "faults.h"
 
 #include <inttypes.h>
@@ -14,18 +14,18 @@
 #define MS_PER_S_DOUBLE 1000.0
 #define CONTROL_CONNECTIONS 4
 
-/* One fault with its timers. */
+/* A fault and its timers. */
 typedef struct scheduled_fault {
     lab_fleet_t *fleet;
     lab_fault_log_t *log;
     const lab_fault_t *fault;
     uv_timer_t begin;
-    uv_timer_t middle; /* cold start: from starting to slow */
+    uv_timer_t middle; /* cold start: end of the starting state; snapshot roll: next backend */
     uv_timer_t end;
-    unsigned rolled_backends; /* snapshot roll: back ends done */
+    unsigned rolled_backends; /* snapshot roll: backends done */
 } scheduled_fault_t;
 
-/* ---- talking to the stand-ins ---- */
+/* ---- control calls to fake backends, platform and proxy ---- */
 
 typedef struct control_call {
     ts_http_pool_t *pool;
@@ -145,7 +145,7 @@
     g_file_set_contents(fleet->config_path, text, -1, NULL);
 }
 
-/* A higher version that every node must refuse: a selector reaches a group that nobody declares. */
+/* Writes a newer version that every node must reject: a selector refers to an undeclared group. */
 static void publish_invalid_config(const scheduled_fault_t *scheduled)
 {
     uint64_t version = lab_config_version(scheduled->fleet->config_text) + 1;
@@ -169,7 +169,7 @@
     return field;
 }
 
-/* The declarations with the shards of two back ends exchanged. */
+/* Returns the declarations with the shards of two backends swapped. */
 static char *exchange_shards(const char *config, const char *first, const char *second)
 {
     char *text = g_strdup(config);
--- a/lab/faults.h
+++ b/lab/faults.h
@@ -1,31 +1,31 @@
-/** Applying a scenario's faults to a running fleet. */
+/** Applies a scenario's faults to a running fleet. */
 #ifndef TEALSPAR_LAB_FAULTS_H
 #define TEALSPAR_LAB_FAULTS_H
 
 #include "fleet.h"
 
-/** A configuration that was published, for the check of its spread. */
+/** A published configuration, to check how fast it reaches the nodes. */
 typedef struct lab_published {
     uint64_t version;
     ts_time_us_t at_us;
 } lab_published_t;
 
-/** A span of wall-clock time in which a node was dead or stood still. */
+/** Interval of wall-clock time in which a node was killed or paused. */
 typedef struct lab_disturbance {
     int64_t begin_ms;
     int64_t end_ms;
 } lab_disturbance_t;
 
-/** What the faults have done, for the verdict. */
+/** Effects of the faults, as needed for the verdict. */
 typedef struct lab_fault_log {
-    GArray *published;    /**< of lab_published_t */
-    GArray *stops;        /**< of int64_t: wall-clock ms of planned stops */
-    GArray *disturbances; /**< of lab_disturbance_t: kills and pauses of nodes */
+    GArray *published;    /**< lab_published_t[] */
+    GArray *stops;        /**< int64_t[]: wall-clock time of planned stops, ms */
+    GArray *disturbances; /**< lab_disturbance_t[]: kills and pauses of nodes */
 } lab_fault_log_t;
 
-/** Checks that every fault's target exists; false with a message on standard error. */
+/** Checks that every fault's target exists; if not, prints an error and returns false. */
 bool lab_faults_check(const lab_fleet_t *fleet);
-/** Arms a timer for every fault; times count from now. */
+/** Starts a timer for every fault; their times are relative to this call. */
 void lab_faults_schedule(lab_fleet_t *fleet, lab_fault_log_t *log);
 
 #endif
--- a/lab/fuzz.c
+++ b/lab/fuzz.c
@@ -1,4 +1,4 @@
-/** The fuzzer: actions, the oracle, shrinking. */
+/** The fuzzer: generation, execution and shrinking of action lists, and the oracle. */
 #include "fuzz.h"
 
 #include <inttypes.h>
@@ -18,14 +18,13 @@
 #define NODES (NODES_PER_ZONE * ZONES)
 #define SEARCHERS 12U
 #define SETTLE_US (9ULL * TS_US_PER_S)
-/* After the last action everything heals, and every query must have come to its end. */
+/* Simulated time after the last action, when all faults have ended; every query must end in it. */
 #define FINAL_RUN_US (20ULL * TS_US_PER_S)
 #define ANSWER_SLACK_US (1000ULL * TS_US_PER_MS)
 #define DISPATCH_KIND "dispatch"
 #define KEYS 5U
-/* A repeat is of one of the newest ids, as a caller's would be. */
-#define RECENT_IDS 6U
-/* Some seeds run fast, others leave time for suspicions, fences and partitions. */
+/* Number of maximum gaps between actions. The seed selects one: short gaps give dense runs, long
+ * ones leave time for suspicions, fences and partitions to take effect. */
 #define GAP_VARIANTS 3U
 
 static const char *const first_config =
@@ -74,17 +73,17 @@
 
 static const char *const kinds[] = {"wide", "narrow", "fetch"};
 
-/* What the oracle knows of one request id. */
+/* What the oracle knows about a request id. */
 typedef struct request {
     char id[24];
     const char *kind;
     char text[24];
     int64_t issued_at_ms;
     unsigned runs;
-    unsigned open_submissions; /* submissions that have not come to their end */
+    unsigned open_submissions; /* submissions without a result so far */
     bool is_unrepeatable;
-    bool is_last_refused; /* the last submission ended with 'not run' */
-    bool may_retry;       /* ended unknown: a caller would send it again */
+    bool is_last_refused; /* the last submission was refused, that is not run */
+    bool may_retry;       /* the last outcome is unknown: a caller would retry */
 } request_t;
 
 /* One submission of a request. */
@@ -92,8 +91,8 @@
     struct run *run;
     request_t *request;
     unsigned node;
-    uint64_t generation; /* of the node, by the oracle's count of its ends */
-    ts_time_us_t due_us; /* by then it must have ended */
+    uint64_t generation; /* of the node when submitted; see node_generations */
+    ts_time_us_t due_us; /* latest time for its result */
 } submission_t;
 
 typedef struct run {
@@ -102,10 +101,10 @@
     ts_declarations_t *declarations;
     GHashTable *requests;    /* id -> request_t, owned */
     GPtrArray *dispatched;   /* unrepeatable requests, borrowed */
-    GHashTable *submissions; /* set of submission_t, owned */
+    GHashTable *submissions; /* set of submission_t without a result, owned */
     uint64_t node_versions[NODES];
-    uint64_t node_generations[NODES];
-    ts_time_us_t disturbed_until_us[NODES]; /* paused */
+    uint64_t node_generations[NODES];       /* incremented at each start and end of the process */
+    ts_time_us_t disturbed_until_us[NODES]; /* end of the latest pause */
     uint64_t version;
     uint64_t snapshot;
     unsigned next_id;
@@ -115,7 +114,7 @@
 
 static void report_violation(run_t *run, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
-/* Keeps the first broken promise. */
+/* Records the first violation; later ones are ignored. */
 static void report_violation(run_t *run, const char *format, ...)
 {
     if (run->finding.is_broken) {
@@ -129,7 +128,7 @@
     run->finding.steps = lab_sim_steps(run->sim);
 }
 
-/* ---- what the simulator tells ---- */
+/* ---- callbacks of the simulator ---- */
 
 static void note_ran(void *context, const lab_sim_run_t *ran)
 {
@@ -273,7 +272,8 @@
     submit(run, request, action->a, true);
 }
 
-/* A submission must end by its deadline, unless its node died or stood still. */
+/* A submission must end by its deadline, unless its process has ended; a pause extends the
+ * deadline. */
 static void check_overdue(run_t *run)
 {
     ts_time_us_t now_us = lab_sim_now_us(run->sim);
@@ -319,8 +319,9 @@
 }
 
 /*
- * The version below which a node that starts may not fall: what every node that it can hear has in
- * force. What nobody holds any more is lost, as nothing lasts but in the nodes.
+ * Lower bound on the version that a starting node may apply: the lowest of its own previous version
+ * and those of all nodes that it can reach. 0 if it can reach none or if anything is cut off:
+ * versions are stored in the nodes only, so a version that no reachable node holds is lost.
  */
 static uint64_t version_floor(const run_t *run, unsigned starting)
 {
@@ -474,7 +475,8 @@
     ts_declarations_unref(run->declarations);
 }
 
-/* Planned stops end a process when it is idle; the oracle counts that as an end. */
+/* Counts processes that have ended by themselves: after a planned stop a process ends when it is
+ * idle. */
 static void note_ended(run_t *run, const bool *was_running)
 {
     for (unsigned node = 0; node < NODES; node++) {
@@ -526,9 +528,9 @@
     return finding;
 }
 
-/* ---- drawing ---- */
+/* ---- generation ---- */
 
-/* How often each action is drawn. */
+/* Relative frequency of each action. */
 static const unsigned weights[LAB_ACTION_COUNT] = {
     [LAB_ACTION_QUERY] = 220,     [LAB_ACTION_DISPATCH] = 120, [LAB_ACTION_REPEAT] = 120,
     [LAB_ACTION_KILL] = 6,        [LAB_ACTION_START] = 14,     [LAB_ACTION_STOP] = 5,
@@ -581,7 +583,7 @@
     for (guint i = 0; i < actions->len; i++) {
         lab_action_t action = g_array_index(actions, lab_action_t, i);
         if (i >= begin && i < begin + count) {
-            removed_ms += action.after_ms; /* what stays keeps its time */
+            removed_ms += action.after_ms; /* the remaining actions keep their times */
             continue;
         }
         action.after_ms += removed_ms;
--- a/lab/fuzz_command.c
+++ b/lab/fuzz_command.c
@@ -1,4 +1,4 @@
-/** `tealspar-lab fuzz`: stateful fuzzing of whole nodes, by seeds. */
+/** `tealspar-lab fuzz`: stateful fuzzing of whole nodes with consecutive seeds. */
 #include <stdio.h>
 
 #include "fuzz.h"
@@ -9,7 +9,8 @@
 #define TABLE_SIZE 8
 #define DEFAULT_ACTIONS 400
 
-/* Runs one seed; prints and shrinks what it finds. Returns whether every promise held. */
+/* Runs one seed; prints a violation and, if requested, shrinks its actions. Returns whether there
+ * was none. */
 static bool fuzz_seed(uint64_t seed, unsigned count, bool shrinks, lab_finding_t *finding)
 {
     GArray *actions = lab_fuzz_generate(seed, count);
@@ -35,7 +36,7 @@
     return !finding->is_broken;
 }
 
-/* How long to go on: for so many seeds, and then for so long. */
+/* Runs continue until both `seeds` have been run and `seconds` have passed. */
 typedef struct limits {
     unsigned seeds;
     unsigned seconds;
@@ -73,17 +74,17 @@
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
     struct arg_int *seed = arg_int0(NULL, "seed", "N", "first seed (1)");
-    struct arg_int *steps = arg_int0(NULL, "steps", "N", "actions a seed (400)");
+    struct arg_int *steps = arg_int0(NULL, "steps", "N", "actions per seed (400)");
     struct arg_int *seconds =
-        arg_int0(NULL, "seconds", "S", "go on with further seeds for this time (0: one seed)");
-    struct arg_int *seeds = arg_int0(NULL, "seeds", "N", "seeds to run at least (1)");
-    struct arg_lit *first = arg_lit0(NULL, "first", "stop at the first broken promise");
-    struct arg_lit *plain = arg_lit0(NULL, "no-shrink", "do not shrink what is found");
+        arg_int0(NULL, "seconds", "S", "continue with further seeds for this time (0)");
+    struct arg_int *seeds = arg_int0(NULL, "seeds", "N", "minimum number of seeds (1)");
+    struct arg_lit *first = arg_lit0(NULL, "first", "stop at the first violation");
+    struct arg_lit *plain = arg_lit0(NULL, "no-shrink", "do not shrink the actions of a violation");
     struct arg_end *end = arg_end(8);
     void *table[TABLE_SIZE] = {help, seed, steps, seconds, seeds, first, plain, end};
     int exit_code = TS_EXIT_OK;
     if (ts_command_parse(argc, argv, table, TABLE_SIZE,
-                         "fuzz whole nodes against the oracle; exit 0 when every promise held",
+                         "fuzz whole nodes against the oracle; exit 0 if there was no violation",
                          &exit_code)) {
         run_limits_t limits = {seeds->count > 0 ? (unsigned)seeds->ival[0] : 1,
                                seconds->count > 0 ? (unsigned)seconds->ival[0] : 0,
--- a/lab/link.c
+++ b/lab/link.c
@@ -1,4 +1,4 @@
-/** Links: the proxy's connections, the bytes they hold, and when these are due. */
+/** Links: proxied connections, and the queues of bytes that wait to be sent. */
 #include "link.h"
 
 #include <glib.h>
@@ -18,10 +18,10 @@
     struct sockaddr_storage target;
     const lab_link_ops_t *ops;
     void *ctx;
-    GPtrArray *connections; // open ones
+    GPtrArray *connections; // connection_t[], open connections
 };
 
-/* Bytes on their way, due at a time. */
+/* Bytes to be sent at `due_us`. */
 typedef struct chunk {
     ts_time_us_t due_us;
     size_t length;
@@ -35,23 +35,23 @@
     connection_t *connection;
     uv_tcp_t *from;
     uv_tcp_t *to;
-    GQueue *chunks;           /* of chunk_t */
-    ts_time_us_t last_due_us; /* bytes of a connection never overtake each other */
-    bool has_eof;             /* nothing more comes: the connection ends once all is sent */
-    bool is_forward;          /* from the dialling node to the listening one */
+    GQueue *chunks;           /* chunk_t[] */
+    ts_time_us_t last_due_us; /* lower bound for later chunks, as the bytes must stay in order */
+    bool has_eof;    /* end of stream received: the connection is closed when all chunks are sent */
+    bool is_forward; /* from the client to the server */
 } direction_t;
 
 struct connection {
-    uv_tcp_t client; /* the dialling node */
-    uv_tcp_t server; /* the listening node */
+    uv_tcp_t client; /* accepted from the client */
+    uv_tcp_t server; /* connected to the target */
     uv_timer_t timer;
     uv_connect_t connect;
-    char source[SOURCE_MAX]; // IP number of the dialling end
+    char source[SOURCE_MAX]; // IP address of the client
     lab_link_t *link;
     direction_t forward;
     direction_t backward;
     unsigned open_handles;
-    bool is_blackholed; /* it has gone silent for good */
+    bool is_blackholed; /* drops all traffic from now on */
     bool is_closing;
 };
 
@@ -77,20 +77,20 @@
     g_free(connection);
 }
 
-static void close_socket(uv_tcp_t *socket, bool resets)
+static void close_socket(uv_tcp_t *socket, bool is_reset)
 {
-    if (!resets || uv_tcp_close_reset(socket, free_when_closed) != 0)
+    if (!is_reset || uv_tcp_close_reset(socket, free_when_closed) != 0)
         uv_close((uv_handle_t *)socket, free_when_closed);
 }
 
-static void end_connection(connection_t *connection, bool resets)
+static void end_connection(connection_t *connection, bool is_reset)
 {
     if (connection->is_closing)
         return;
     connection->is_closing = true;
     g_ptr_array_remove_fast(connection->link->connections, connection);
-    close_socket(&connection->client, resets);
-    close_socket(&connection->server, resets);
+    close_socket(&connection->client, is_reset);
+    close_socket(&connection->server, is_reset);
     uv_close((uv_handle_t *)&connection->timer, free_when_closed);
 }
 
@@ -135,7 +135,7 @@
 
 static void arm_timer(connection_t *connection);
 
-/* Ends the connection when its last bytes are on their way. */
+/* Closes the connection if it has reached its end and all bytes have been sent. */
 static void close_if_drained(direction_t *direction)
 {
     if (direction->has_eof && g_queue_is_empty(direction->chunks))
@@ -196,7 +196,8 @@
     }
 }
 
-/* The other side ended: in order, then once what it sent has passed; else at once, and so here. */
+/* One side has closed its connection. After an orderly end the other side is closed as soon as all
+ * bytes have been sent; after a reset it is reset immediately. */
 static void handle_eof(direction_t *direction)
 {
     if (!ts_stream_ended_in_order((const uv_stream_t *)direction->from)) {
--- a/lab/link.h
+++ b/lab/link.h
@@ -1,7 +1,7 @@
 /**
- * A link: a loopback TCP proxy in front of one address, which delays, holds, resets or half-opens
- * what passes. How it behaves is asked anew for each connection, so one link may treat its dialling
- * ends differently.
+ * Link: a loopback TCP proxy in front of one address that can delay traffic, hold it in one or both
+ * directions, or reset connections. Mode and delay are looked up by the client's address, so they
+ * may differ between clients of one link.
  */
 #ifndef LAB_LINK_H
 #define LAB_LINK_H
@@ -11,13 +11,13 @@
 
 typedef enum lab_link_mode {
     LAB_LINK_PASS,
-    LAB_LINK_SILENT,      /**< bytes are held, both ways, until the mode changes */
-    LAB_LINK_RESET,       /**< connections are closed at once */
-    LAB_LINK_HALF_OPEN,   /**< bytes to the listening end are held, the others pass */
-    LAB_LINK_HOLD_REPLIES /**< bytes from the listening end are held, the others pass */
+    LAB_LINK_SILENT,      /**< holds the bytes of both directions until the mode changes */
+    LAB_LINK_RESET,       /**< closes connections immediately */
+    LAB_LINK_HALF_OPEN,   /**< holds bytes to the server, passes those to the client */
+    LAB_LINK_HOLD_REPLIES /**< holds bytes to the client, passes those to the server */
 } lab_link_mode_t;
 
-/** What decides; `source` is the dialling end's IP number. */
+/** Mode and delay of a connection; `source` is the client's IP address. */
 typedef struct lab_link_ops {
     lab_link_mode_t (*mode)(void *ctx, const char *source);
     double (*delay_ms)(void *ctx, const char *source);
@@ -25,17 +25,16 @@
 
 typedef struct lab_link lab_link_t;
 
-/** Listens at "IP:port" and forwards to `target`; NULL when that fails. Lives as long as the loop.
- */
+/** Listens on "IP:port" and forwards to `target`; NULL on failure. It is never freed. */
 lab_link_t *lab_link_open(uv_loop_t *loop, const char *listen, const char *target,
                           const lab_link_ops_t *ops, void *ctx);
-/** Connections from now on go to another address. */
+/** Sets the address that new connections are forwarded to. */
 void lab_link_set_target(lab_link_t *link, const char *target);
-/** What stands behind it has ended: it listens no more, and its connections are reset. */
+/** Stops listening and resets all connections, as if the server had crashed. */
 void lab_link_close(lab_link_t *link);
-/** Connections that are open now carry nothing any more, without a reset; new ones do. */
+/** Open connections drop all traffic from now on without being closed; new ones work. */
 void lab_link_blackhole(lab_link_t *link);
-/** To be called when `mode` would answer differently than before. */
+/** Must be called when the result of `mode` has changed. */
 void lab_link_mode_changed(lab_link_t *link);
 
 #endif
--- a/lab/planted/planted.c
+++ b/lab/planted/planted.c
@@ -1,7 +1,7 @@
 /**
- * Planted bugs: each breaks one rule of the product, by taking the place of a function at link time
- * (ld's --wrap), so that the fuzzer can show that it finds it. Linked into `fuzz_planted` only; the
- * environment variable TEALSPAR_PLANT names the bug.
+ * Planted bugs: each wraps a function at link time (ld --wrap) to violate one guarantee, to test
+ * that the fuzzer detects it. Linked into `fuzz_planted` only; the environment variable
+ * TEALSPAR_PLANT selects the bug.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -21,7 +21,7 @@
     return planted != NULL && strcmp(planted, name) == 0;
 }
 
-/* "idempotency": an id that was dispatched is dispatched again. */
+/* "idempotency": an id that was already dispatched is dispatched again. */
 ts_idempotency_verdict_t __real_ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
                                                      ts_time_us_t now_us);
 ts_idempotency_verdict_t __wrap_ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
@@ -31,8 +31,8 @@
     return is_planted("idempotency") ? TS_IDEMPOTENCY_RUN : verdict;
 }
 
-/* "fence": a new owner vouches for ids that an earlier owner may have dispatched. */
-/* "foreign": a node of another zone vouches while the zone's own nodes are only cut off. */
+/* "fence": a new owner treats ids as not dispatched that a previous owner may have dispatched. */
+/* "foreign": a node of another zone does so while the zone's own nodes are merely partitioned. */
 ts_owned_t *__real_ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend);
 ts_owned_t *__wrap_ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend)
 {
@@ -46,7 +46,7 @@
     return owned;
 }
 
-/* "quorum": a node that hears no majority of its zone believes that it does. */
+/* "quorum": a node without contact to a majority of its zone assumes that it has a quorum. */
 ts_view_t *__real_ts_membership_view(const ts_membership_t *membership);
 ts_view_t *__wrap_ts_membership_view(const ts_membership_t *membership)
 {
@@ -55,7 +55,7 @@
     return view;
 }
 
-/* "drained": work goes to a back end that has said that it drains. */
+/* "drained": requests are sent to a backend that has reported that it is draining. */
 void __real_ts_owned_submit(ts_owned_t *owned, ts_job_t *job);
 void __wrap_ts_owned_submit(ts_owned_t *owned, ts_job_t *job)
 {
@@ -66,7 +66,7 @@
     __real_ts_owned_submit(owned, job);
 }
 
-/* "stall": a process that stood still goes on with what it believed before. */
+/* "stall": after a process stall, a node continues with its outdated state. */
 void __real_ts_owned_recheck(ts_owned_t *owned);
 void __wrap_ts_owned_recheck(ts_owned_t *owned)
 {
@@ -75,7 +75,7 @@
     }
 }
 
-/* "refusal": an outcome that may have run is called 'not run'. */
+/* "refusal": a failed request that may have run is reported as not run. */
 void __real_ts_directory_learn(ts_directory_t *directory, ts_replica_t *replica,
                                const ts_subreply_t *subreply, ts_time_us_t latency_us,
                                ts_time_us_t now_us);
@@ -89,7 +89,7 @@
     __real_ts_directory_learn(directory, replica, subreply, latency_us, now_us);
 }
 
-/* "version": whatever is loaded last counts as the newest. */
+/* "version": the configuration loaded last always counts as the newest. */
 ts_declarations_t *__real_ts_declarations_load(const char *text, size_t length,
                                                ts_problems_t *problems);
 ts_declarations_t *__wrap_ts_declarations_load(const char *text, size_t length,
--- a/lab/planted/skewed_clock.c
+++ b/lab/planted/skewed_clock.c
@@ -1,4 +1,4 @@
-/** A time of day that is off by LAB_CLOCK_SKEW_MS: wraps the clock of `tealspar` at link time. */
+/** Wraps the wall clock of `tealspar` at link time and adds LAB_CLOCK_SKEW_MS to it. */
 #include <stdint.h>
 #include <stdlib.h>
 
--- a/lab/ports.c
+++ b/lab/ports.c
@@ -1,20 +1,20 @@
-/** Ports to listen on, taken in blocks. */
+/** Allocation of listening ports in blocks. */
 #include "ports.h"
 
 #include <arpa/inet.h>
 #include <stdbool.h>
 #include <unistd.h>
 
-/* Below those that the kernel gives to outgoing connections: one of these could be taken by any
- * process between the choice and the listening. */
+/* Below the kernel's ephemeral ports: any process could get one of these for an outgoing connection
+ * after it was allocated and before the program listens on it. */
 #define PORT_FIRST 12000U
 #define BLOCK_PORTS 100U
 #define BLOCK_COUNT 200U
-/* Who holds the block `i` has bound this port plus `i`. */
+/* The program that has reserved block `i` keeps a socket bound to this port plus `i`. */
 #define LOCK_PORT_FIRST 11000U
 #define LOCK_IP "127.0.0.1"
 
-/* A socket bound to an address, or -1. */
+/* Returns a socket bound to an address, or -1. */
 static int bind_port(const char *ip, unsigned port)
 {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
@@ -36,7 +36,7 @@
     return fd >= 0;
 }
 
-/* Takes a block that nobody holds, until the process ends; BLOCKS: all are held. */
+/* Reserves a free block until the process exits; BLOCK_COUNT: none is free. */
 static unsigned reserve_block(void)
 {
     for (unsigned i = 0; i < BLOCK_COUNT; i++) {
@@ -48,7 +48,7 @@
 
 unsigned lab_next_port(const char *ip)
 {
-    static unsigned next; /* in the block taken last */
+    static unsigned next; /* next port to try in the last reserved block */
     static unsigned end;
     for (;;) {
         for (; next < end; next++) {
--- a/lab/ports.h
+++ b/lab/ports.h
@@ -1,12 +1,12 @@
 /**
- * Ports to listen on, for programs of tests and the lab that run at once on one machine. A program
- * takes whole blocks of them, each held by a bound socket until it ends, so that no other one is
- * given the same port between its choice and its use.
+ * Allocates listening ports for test and lab programs that run in parallel on one machine. A
+ * program reserves whole blocks of ports, each locked by a bound socket until the program exits, so
+ * that no other program can allocate the same port before it is used.
  */
 #ifndef LAB_PORTS_H
 #define LAB_PORTS_H
 
-/** A port of `ip` that no other program is given and nobody listens on now; 0: there is none. */
+/** Returns a port that is reserved for this program and free on `ip`; 0: none is left. */
 unsigned lab_next_port(const char *ip);
 
 #endif
--- a/lab/soak.c
+++ b/lab/soak.c
@@ -1,4 +1,4 @@
-/** `tealspar-lab soak`: real gateways under random faults; prints one JSON object last. */
+/** `tealspar-lab soak`: runs real gateways under random faults; prints a JSON report last. */
 #include "soak.h"
 
 #include <glib/gstdio.h>
@@ -17,8 +17,9 @@
 #define SECONDS_DEFAULT 60
 #define NODES_DEFAULT 5
 #define STOP_WAIT_MS 8000
-// After the last fault: until everything is asked of the gateways again, and how often.
+// Time limit for the last faults to end, and for the responses of the recovery check.
 #define SETTLE_TIMEOUT_MS 8000
+// Time that gateways may need to recover after the last fault.
 #define RECOVERY_TIME_MS 12000
 #define RECOVERY_REQUESTS 100
 #define RECOVERY_MIN_SHARE 0.98
@@ -42,17 +43,17 @@
     va_end(arguments);
 }
 
-void soak_report_violation(soak_t *s, const char *promise, const char *format, ...)
+void soak_report_violation(soak_t *s, const char *guarantee, const char *format, ...)
 {
     va_list arguments;
     va_start(arguments, format);
     char *text = g_strdup_vprintf(format, arguments);
     va_end(arguments);
     s->violations++;
-    guint count = GPOINTER_TO_UINT(g_hash_table_lookup(s->violations_by_guarantee, promise)) + 1;
-    g_hash_table_insert(s->violations_by_guarantee, g_strdup(promise), GUINT_TO_POINTER(count));
-    soak_log(s, "BROKEN %s: %s", promise, text);
-    fprintf(stderr, "BROKEN %s: %s\n", promise, text);
+    guint count = GPOINTER_TO_UINT(g_hash_table_lookup(s->violations_by_guarantee, guarantee)) + 1;
+    g_hash_table_insert(s->violations_by_guarantee, g_strdup(guarantee), GUINT_TO_POINTER(count));
+    soak_log(s, "BROKEN %s: %s", guarantee, text);
+    fprintf(stderr, "BROKEN %s: %s\n", guarantee, text);
     g_free(text);
 }
 
@@ -61,7 +62,7 @@
     uv_stop(timer->loop);
 }
 
-// Told to end: what was started is stopped, and the soak has failed.
+// SIGTERM or SIGINT: kills the gateways and exits as failed.
 static void handle_signal(uv_signal_t *handle, int number)
 {
     soak_t *s = handle->data;
@@ -93,7 +94,7 @@
     uv_run(&s->loop, UV_RUN_NOWAIT);
 }
 
-// Waits until no node is down, paused or stopping, and no link or store is spoiled.
+// Waits until all nodes run and no fault of a node, a node's link or the store is in effect.
 static bool await_faults_ended(soak_t *s)
 {
     for (unsigned waited = 0; waited < SETTLE_TIMEOUT_MS; waited += POLL_MS) {
@@ -115,7 +116,7 @@
     recovery_successes += status == 200;
 }
 
-// Once faults have ended every gateway must serve again.
+// Checks that all gateways serve again after the faults have ended.
 static void check_recovery(soak_t *s)
 {
     if (!await_faults_ended(s)) {
@@ -146,7 +147,7 @@
     }
 }
 
-// Ends the gateways that this soak started, and only those.
+// Stops the gateways started by this soak; kills those that do not stop in time.
 static void stop_nodes(soak_t *s)
 {
     for (unsigned i = 0; i < s->options.nodes; i++)
@@ -174,7 +175,7 @@
     return (a > b) - (a < b);
 }
 
-// A quantile of the latencies, which are sorted, in milliseconds.
+// Quantile `share` of the latencies in milliseconds; they must be sorted.
 static double latency_ms(const soak_t *s, double share)
 {
     guint n = s->latencies->len;
@@ -185,12 +186,12 @@
 static void print_report(const soak_t *s)
 {
     GHashTableIter it;
-    gpointer promise = NULL;
+    gpointer guarantee = NULL;
     gpointer count = NULL;
     json_t *violations_by_guarantee = json_object();
     g_hash_table_iter_init(&it, s->violations_by_guarantee);
-    while (g_hash_table_iter_next(&it, &promise, &count))
-        json_object_set_new(violations_by_guarantee, promise,
+    while (g_hash_table_iter_next(&it, &guarantee, &count))
+        json_object_set_new(violations_by_guarantee, guarantee,
                             json_integer(GPOINTER_TO_UINT(count)));
     json_t *report =
         json_pack("{s:I, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:o}", "seed",
@@ -238,7 +239,7 @@
     uv_loop_init(&s.loop);
     watch_signals(&s);
     if (!open_timeline(&s) || !soak_world_open(&s)) {
-        fprintf(stderr, "soak: cannot set up\n");
+        fprintf(stderr, "soak: set-up failed\n");
         return TS_EXIT_USAGE;
     }
     run_loop(&s, RECOVERY_TIME_MS / 4);
@@ -259,18 +260,17 @@
 static int run(int argc, char **argv)
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
-    struct arg_int *seconds = arg_int0(NULL, "seconds", "N", "how long faults go on (60)");
-    struct arg_str *seed = arg_str0(NULL, "seed", "N", "of requests and faults (drawn)");
-    struct arg_int *nodes = arg_int0(NULL, "gateways", "N", "3 to 8 (5)");
+    struct arg_int *seconds =
+        arg_int0(NULL, "seconds", "N", "duration of the faults in seconds (60)");
+    struct arg_str *seed = arg_str0(NULL, "seed", "N", "seed of requests and faults (random)");
+    struct arg_int *nodes = arg_int0(NULL, "gateways", "N", "number of gateways, 3 to 8 (5)");
     struct arg_file *program = arg_file1(NULL, "program", "FILE", "the program tealspar");
     struct arg_file *skewed =
-        arg_file0(NULL, "skewed-program", "FILE", "the same with a time of day that is off");
+        arg_file0(NULL, "skewed-program", "FILE", "build of tealspar with a skewed wall clock");
     struct arg_file *directory = arg_file1(NULL, "directory", "DIR", "for logs and the timeline");
     struct arg_lit *calm = arg_lit0(NULL, "calm", "no faults");
-    struct arg_lit *plant =
-        arg_lit0(NULL, "plant", "tell gateways neither drains nor versions: checks must fail");
-    struct arg_lit *stalled =
-        arg_lit0(NULL, "stalled-logs", "nobody reads what the gateways write");
+    struct arg_lit *plant = arg_lit0(NULL, "plant", "simulate bugs that the checks must detect");
+    struct arg_lit *stalled = arg_lit0(NULL, "stalled-logs", "never read the gateways' log output");
     struct arg_end *end = arg_end(ERRORS_MAX);
     void *table[TABLE_SIZE] = {help,      seconds, seed,  nodes,   program, skewed,
                                directory, calm,    plant, stalled, end};
--- a/lab/soak_caller.c
+++ b/lab/soak_caller.c
@@ -1,4 +1,4 @@
-/** The soak's callers: one request a connection, and what is found in its answer. */
+/** The soak's callers: send one request per connection and check its response. */
 #include "soak.h"
 
 #include <stdlib.h>
@@ -8,14 +8,14 @@
 #include "tealspar/http_message.h"
 
 #define TICK_MS 10
-// Requests a tick over all gateways, in thousandths.
+// Average number of requests to all gateways in 1000 ticks.
 #define REQUESTS_PER_1000_TICKS 500
 #define DEADLINE_MS 1500
-// An answer may come this long after its deadline before it counts as held.
+// Tolerance after a request's deadline before a missing response counts as a violation.
 #define OVERDUE_US (500 * TS_US_PER_MS)
-// Configuration must be in force this long after the store took it.
+// Gateways must apply a configuration within this time after it was written to the store.
 #define APPLY_US (3 * TS_US_PER_S)
-// Requests go on to a gateway that stops for this long, as its callers learn of it late.
+// Callers go on sending to a stopping gateway for this long, as they notice the stop late.
 #define REQUESTS_AFTER_SIGTERM_US (1000 * TS_US_PER_MS)
 #define HEAD_MAX 65536
 #define BODY_MAX (1U << 20)
@@ -24,16 +24,16 @@
     ROUTE_FORWARD,
     ROUTE_ONCE,
     ROUTE_ALL,
-    ROUTE_PLACED, // forwarded, in the first region only
+    ROUTE_PLACED, // forwarded within the first region only
     ROUTE_MARKER
 } soak_route_t;
 
 typedef struct call {
     soak_t *s;
     soak_node_t *node;
-    unsigned incarnation; // of the node when it was asked
+    unsigned incarnation; // incarnation of `node` when the request was sent
     soak_route_t route;
-    uint64_t version; // of the marker route, or the newest when it was sent
+    uint64_t version; // newest configuration when the request was sent; names the marker route
     ts_time_us_t sent_us;
     bool was_fault_free;
     char id[24];
@@ -46,7 +46,7 @@
     bool is_connected;
     bool is_finished;
     soak_done_t on_done;
-    soak_fatal_request_t *fatal_request; // the request of which it is a try; NULL: it ends nothing
+    soak_fatal_request_t *fatal_request; // the fatal request that this call sends; NULL: none
 } call_t;
 
 static void handle_closed(uv_handle_t *handle)
@@ -76,7 +76,7 @@
 
 // -- Checks
 
-// Whether promises with a bound in time held for the node from before the request until now.
+// Whether guarantees with a time limit applied to the node from the start of the request until now.
 static bool was_fault_free(const call_t *call)
 {
     return call->was_fault_free && call->incarnation == call->node->incarnation &&
@@ -89,7 +89,8 @@
     return g_hash_table_lookup(s->instances, instance_id);
 }
 
-// The parts must be those of one configuration that may have been in force.
+// The parts must come from the shards of a single configuration version, and none may be
+// unaccounted for.
 static bool is_one_version(const call_t *call, uint64_t services, unsigned missing)
 {
     uint64_t first = ((1ULL << SOAK_SHARDS) - 1);
@@ -108,15 +109,15 @@
                                 missing == NULL ? 0 : (unsigned)atoi(missing), answer->body->str,
                                 answer->body->len};
     uint64_t services = 0;
-    const char *wrong = soak_check_gathered(&gathered, service_of, call->s, &services);
-    if (wrong == NULL && !is_one_version(call, services, gathered.missing))
-        wrong = "parts that are not those of one version";
-    if (wrong != NULL)
+    const char *error = soak_check_gathered(&gathered, service_of, call->s, &services);
+    if (error == NULL && !is_one_version(call, services, gathered.missing))
+        error = "parts that are not those of one version";
+    if (error != NULL)
         soak_report_violation(call->s, "MIXED", "%s answered %s with %s", call->node->name,
-                              call->id, wrong);
+                              call->id, error);
 }
 
-// One searcher's answer, unchanged.
+// A forwarded response must be the unchanged response of one searcher.
 static void check_forwarded(const call_t *call)
 {
     const ts_http_message_t *answer = &call->answer;
@@ -142,7 +143,9 @@
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-// A route that the newest configuration names, long enough for it to be in force.
+// Each configuration version has a marker route of its own. A 404 on it is a violation if the
+// version is still the newest and the gateway has shown before that it knows it, or has had the
+// time to apply it.
 static void check_marker(const call_t *call, unsigned status)
 {
     soak_t *s = call->s;
@@ -197,7 +200,7 @@
         check_forwarded(call);
 }
 
-// The connection ended without an answer.
+// The connection was closed without a response.
 static void check_closed(const call_t *call)
 {
     soak_node_t *node = call->node;
@@ -295,7 +298,8 @@
     g_array_append_val(call->s->budgets[service].requests, call->sent_us);
 }
 
-// Which services the request is for depends on the version in force; it counts at each that may be.
+// Records a request for the checks. The gateway may still apply an older configuration; the budget
+// counts the request for the services of the newest one.
 static void record_request(call_t *call)
 {
     soak_t *s = call->s;
--- a/lab/soak_check.c
+++ b/lab/soak_check.c
@@ -1,4 +1,4 @@
-/** Pure checks of the soak. */
+/** Pure functions of the soak's checks. */
 #include "soak_check.h"
 
 #include <string.h>
@@ -11,7 +11,8 @@
     uint64_t seed = ts_hash_mix(ts_hash_text(service), ts_hash_text(request_id));
     for (uint64_t i = 0; i < SOAK_RECORDS_PER_ANSWER; i++) {
         uint64_t halves[2] = {ts_hash_mix(seed, i), ts_hash_mix(i + 1, seed)};
-        // Some records are equal in different services: every equal one counts.
+        // The first record is the same in all services; a merged response must keep each copy of
+        // it.
         if (i == 0)
             halves[0] = halves[1] = ts_hash_text(request_id);
         g_string_append_len(body, (const char *)halves, sizeof(halves));
@@ -31,7 +32,8 @@
     return length == wanted && memcmp(records->str, body, wanted) == 0;
 }
 
-// "sig.ID.RUN.REQUEST" -> the instance's id, if it is for this request.
+// Returns the instance id of a signature "sig.ID.RUN.REQUEST", or NULL if it is for another
+// request.
 static char *parse_signature(const char *text, const char *request_id)
 {
     char **words = g_strsplit(text, ".", 4);
@@ -42,7 +44,7 @@
     return id;
 }
 
-// Adds one part; returns what is wrong with it, or NULL.
+// Adds the records of one part; returns an error description or NULL.
 static const char *add_part(const char *signature, const soak_gathered_t *answer,
                             soak_service_of_t service_of, void *ctx, uint64_t *services,
                             GString *records)
@@ -65,17 +67,17 @@
 const char *soak_check_gathered(const soak_gathered_t *answer, soak_service_of_t service_of,
                                 void *ctx, uint64_t *services)
 {
-    const char *wrong = NULL;
+    const char *error = NULL;
     GString *records = g_string_new(NULL);
     char **signatures = g_strsplit(answer->signatures, ",", 0);
     *services = 0;
-    for (guint i = 0; signatures[i] != NULL && wrong == NULL; i++)
-        wrong = add_part(g_strstrip(signatures[i]), answer, service_of, ctx, services, records);
-    if (wrong == NULL && !has_top_records(records, answer->body, answer->body_length))
-        wrong = "records that are not the greatest of its parts";
+    for (guint i = 0; signatures[i] != NULL && error == NULL; i++)
+        error = add_part(g_strstrip(signatures[i]), answer, service_of, ctx, services, records);
+    if (error == NULL && !has_top_records(records, answer->body, answer->body_length))
+        error = "records that are not the greatest of its parts";
     g_strfreev(signatures);
     g_string_free(records, TRUE);
-    return wrong;
+    return error;
 }
 
 static unsigned count_between(const GArray *times, ts_time_us_t begin_us, ts_time_us_t end_us)
--- a/lab/soak_check.h
+++ b/lab/soak_check.h
@@ -1,4 +1,4 @@
-/** Pure checks of the soak: what a searcher must answer, whether an answer is right, budgets. */
+/** Pure functions of the soak: expected bodies, checks of merged responses and of budgets. */
 #ifndef LAB_SOAK_CHECK_H
 #define LAB_SOAK_CHECK_H
 
@@ -8,13 +8,13 @@
 
 #include "tealspar/clock.h"
 
-#define SOAK_RECORDS_PER_ANSWER 8 // in each searcher's answer
-#define SOAK_TOP_RECORDS 5        // of them a gathered answer brings
+#define SOAK_RECORDS_PER_ANSWER 8 // records in each searcher's response
+#define SOAK_TOP_RECORDS 5        // highest records kept in a merged response
 
-/** The records that a service holds for a request, in no order; the same at every replica. */
+/** Appends the records that every replica of a service returns for a request, unsorted. */
 void soak_compose_body(const char *service, const char *request_id, GString *body);
 
-// A gathered answer as the caller got it.
+// A merged response as received by the caller.
 typedef struct soak_gathered {
     const char *request_id;
     const char *signatures; // comma-separated
@@ -24,32 +24,33 @@
 } soak_gathered_t;
 
 /**
- * Checks a gathered answer against the services of its signatures; `service_of` names the service
- * of an instance id. `services` receives them as a bit set of `service[0] - 'a'`. Returns NULL when
- * all is right, else what is wrong.
+ * Checks a merged response against the services that its signatures name; `service_of` returns the
+ * service of an instance id, or NULL. `services` receives these services as a bit set, indexed by
+ * `service[0] - 'a'`. Returns NULL or a description of the first error.
  */
 typedef const char *(*soak_service_of_t)(void *ctx, const char *instance_id);
 const char *soak_check_gathered(const soak_gathered_t *answer, soak_service_of_t service_of,
                                 void *ctx, uint64_t *services);
 
-// When requests for a service were sent by callers, and when it got arrivals beyond the first.
+// Times at which callers sent requests for a service, and at which the service received a request
+// again.
 typedef struct soak_budget_log {
-    GArray *requests;       // of ts_time_us_t, rising
-    GArray *extra_arrivals; // of ts_time_us_t, rising
+    GArray *requests;       // ts_time_us_t[], ascending
+    GArray *extra_arrivals; // ts_time_us_t[], ascending
 } soak_budget_log_t;
 
 /**
- * The most by which the extras of some window passed ratio x requests + slack; 0 or less: never.
- * Requests count in the window, in the one before it, or in the one half a window before it,
- * whichever has most.
+ * Maximum over all windows of extra arrivals - (ratio x requests + slack); at most 0: the budget
+ * was kept. The requests are counted in the same window, in the previous one and in the one that
+ * begins half a window earlier, and the largest number is used.
  */
 double soak_budget_excess(const soak_budget_log_t *log, ts_time_us_t window_us, double ratio,
                           double slack);
 
-/** The most of the times (of ts_time_us_t, rising) that lie within some window. */
+/** Maximum number of `times` (ts_time_us_t[], ascending) in any window. */
 unsigned soak_max_within(const GArray *times, ts_time_us_t window_us);
 
-/** How many of the arrivals (of ts_time_us_t, rising) came in the last `window_us`. */
+/** Number of `arrivals` (ts_time_us_t[], ascending) in the window that ends at the last of them. */
 unsigned soak_arrivals_within(const GArray *arrivals, ts_time_us_t window_us);
 
 #endif
--- a/lab/soak_crashes.c
+++ b/lab/soak_crashes.c
@@ -1,14 +1,14 @@
-/** Requests that end the searchers that run them, and searchers that end by themselves. */
+/** Requests that crash the searchers that run them, and searchers that crash by themselves. */
 #include "soak.h"
 
-// The platform's contactMs: what is known of such a request is known everywhere by then.
+// The platform's contactMs: by then all gateways know about a fatal request.
 #define CONTACT_US (5 * TS_US_PER_S)
-// Arrivals that are allowed after that.
+// Arrivals of a fatal request that are tolerated after that time.
 #define LATE_ARRIVALS_MAX 3
 #define CRASHES_COUNTED 3
-// Searchers that end under its first gather, each part sent twice at the most, and under three lone
-// sends; all that once more, as a gateway may have heard nothing of it yet, cut off from the
-// others.
+// Limit of the crashes by one fatal request: its first gather sends each part at most twice, and
+// three isolated sends follow. Doubled because a gateway that is cut off from the others may not
+// know about the request yet.
 #define CRASHES_MAX (2 * (2 * SOAK_SHARDS + 3))
 #define ATTEMPT_GAP_MIN_MS 50
 #define ATTEMPT_GAP_MAX_MS 900
@@ -33,7 +33,7 @@
     if (s->fatal_request != NULL)
         return false;
     bool is_gather = g_rand_int_range(s->random, 0, 3) > 0;
-    s->fatal_request = g_new0(soak_fatal_request_t, 1); // records refer to it to the end
+    s->fatal_request = g_new0(soak_fatal_request_t, 1); // not freed: request records refer to it
     s->fatal_request->number = ++s->fatal_requests;
     g_snprintf(s->fatal_request->target, sizeof(s->fatal_request->target),
                "/%s/" SOAK_FATAL_TEXT "-%u", is_gather ? "all" : "forward", s->fatal_requests);
--- a/lab/soak_faults.c
+++ b/lab/soak_faults.c
@@ -1,4 +1,4 @@
-/** The faults of the soak: what each does, and when they come. */
+/** The soak's faults: effects and random schedule. */
 #include "soak.h"
 
 #include <signal.h>
@@ -12,12 +12,13 @@
 #define DOWNTIME_MAX_MS 1500
 #define DELAY_MAX_MS 400
 #define SKEW_MAX_MS 20000
-// At the most so many gateways are down, paused or stopping by faults on single ones.
+// Maximum number of gateways that faults of single gateways keep down, paused or stopping at once.
 #define UNAVAILABLE_NODES_MAX 2
 #define STOP_CHECK_MS 100
-// An evacuation is in force on all gateways three seconds after it began.
+// Gateways apply an evacuation within 3 s, so it must last longer to be checked.
 #define EVACUATION_EXTRA_MS 4000
-// A fatal request comes for longer than it may take until it is known everywhere.
+// A fatal request must be sent for longer than the gateways need to exchange their knowledge about
+// it.
 #define FATAL_REQUEST_EXTRA_MS 8000
 
 typedef struct fault fault_t;
@@ -25,9 +26,9 @@
 typedef struct fault_kind {
     const char *name;
     unsigned weight;
-    bool (*begin)(fault_t *fault); // false: there is nothing it could hit now
-    void (*end)(fault_t *fault);   // NULL: it is over at once
-    unsigned extra_ms;             // it lasts so much longer than others
+    bool (*begin)(fault_t *fault); // false: no suitable target at present
+    void (*end)(fault_t *fault);   // NULL: the fault has no duration
+    unsigned extra_ms;             // added to its random duration
 } fault_kind_t;
 
 struct fault {
@@ -128,7 +129,7 @@
     }
 }
 
-// A planned stop is no fault: what the gateway holds must be answered.
+// A planned stop does not count as a fault: requests in progress at the gateway must be answered.
 static bool stop_node(fault_t *fault)
 {
     if (!choose_node(fault))
@@ -219,8 +220,8 @@
 }
 
 /*
- * Connections go silent for good, new ones work: those of one gateway to the service and from its
- * peers, or those to a searcher.
+ * Open connections drop all traffic from now on, new ones work: those of one gateway to the store
+ * and from its peers, or those to one searcher.
  */
 static bool blackhole_connections(fault_t *fault)
 {
@@ -235,7 +236,7 @@
     lab_link_blackhole(node->store.link);
     lab_link_blackhole(node->peers.link);
     for (unsigned i = 0; i < s->options.nodes; i++)
-        soak_count_node_fault(&s->nodes[i], 0); // peers have lost what they sent to it
+        soak_count_node_fault(&s->nodes[i], 0); // messages from its peers are lost
     soak_log(s, "connections of %s go silent", node->name);
     return true;
 }
@@ -383,7 +384,7 @@
     soak_end_evacuation(fault->s);
 }
 
-// -- Drawing
+// -- Schedule
 
 static const fault_kind_t kinds[] = {
     {"pause", 4, pause_node, resume_node, 0},
--- a/lab/soak_restore.c
+++ b/lab/soak_restore.c
@@ -1,21 +1,21 @@
-/** The store of the soak comes back from an older copy; its writers write again what it has lost.
- */
+/** Restores the soak's store from an older copy; the writers then repeat the lost writes. */
 #include "soak.h"
 
-// After the store's return, the writers write again within so long: operators, then searchers.
+// Rewrite window: maximum delay after the restore until operators and searchers repeat their
+// writes.
 #define OPERATOR_REWRITE_MAX_MS 1000
 #define SEARCHER_REWRITE_MAX_MS 2200
 #define OUTAGE_MIN_MS 300
 #define OUTAGE_MAX_MS 2000
-// Calls of one gateway in a second.
+// Maximum number of store calls of one gateway per second.
 #define CALLS_PER_NODE_PER_S 20
 #define CHECK_INTERVAL_MS 1000
 
 typedef struct rewrite {
     soak_t *s;
     char *key;
-    char *value;     // NULL: it was gone
-    uint64_t writes; // to the store, when this one was lost
+    char *value;     // NULL: a deletion
+    uint64_t writes; // lab_store_write_count at the restore
     uv_timer_t timer;
 } rewrite_t;
 
--- a/lab/soak_tenants.c
+++ b/lab/soak_tenants.c
@@ -1,28 +1,29 @@
-/** Tenants in the soak: whose key a request shows, and what must become of it. */
+/** The soak's tenants: keys of requests, and the checks of authentication and quota. */
 #include "soak.h"
 
 #include <string.h>
 
 #include "../platform/names.h"
 
-// Configuration must be in force this long after the store took it.
+// Gateways must apply a configuration within this time after it was written to the store.
 #define APPLY_US (3 * TS_US_PER_S)
-// The limited tenant: requests a second over all gateways, and the bound of SOAK_QUOTA_SETTINGS.
+// Quota of the limited tenant over all gateways: requests per second, burst, and the maximum in a
+// window with the tolerance of SOAK_QUOTA_SETTINGS.
 #define LIMIT_RATE 4
 #define LIMIT_BURST 4
 #define LIMIT_WINDOW_S 5
 #define LIMIT_MAX ((LIMIT_RATE * LIMIT_WINDOW_S + LIMIT_BURST) * 1.25 + 5)
-// Of requests in a hundred: those of the limited tenant, and of the one whose key changes.
+// Percentage of requests sent by the limited tenant and by the one whose key changes.
 #define LIMITED_PERCENT 20
 #define CHANGING_PERCENT 25
-// Of the latter: those that show a key which has been taken away.
+// Percentage of the latter that carry a revoked key.
 #define REVOKED_PERCENT 20
 
 typedef enum soak_tenant {
     TENANT_NONE = -1,
-    TENANT_FREE,     // no limit, one key
-    TENANT_LIMITED,  // sends more than it may
-    TENANT_CHANGING, // each version of the configuration has another key of it
+    TENANT_FREE,     // no quota, constant key
+    TENANT_LIMITED,  // sends more than its quota
+    TENANT_CHANGING, // its key changes with each configuration version
     TENANT_COUNT
 } soak_tenant_t;
 
@@ -86,7 +87,7 @@
     const soak_request_record_t *record =
         id == NULL ? NULL : g_hash_table_lookup(s->request_records, id);
     if (record == NULL)
-        return; // said where it is counted
+        return; // reported as UNASKED by handle_request
     const char *shown = ts_http_message_find(request, NAME_TENANT);
     const char *wanted = record->tenant == TENANT_NONE ? NULL : names[record->tenant];
     if (g_strcmp0(shown, wanted) != 0 || ts_http_message_count(request, NAME_TENANT) > 1)
@@ -111,8 +112,7 @@
 {
     unsigned status = answer->parser.status_code;
     bool is_changing = record->tenant == TENANT_CHANGING;
-    bool is_superseded =
-        s->version != record->version; // a version that came meanwhile took it away
+    bool is_superseded = s->version != record->version; // a newer version has revoked the key since
     bool may_be_rejected = is_changing && (record->has_old_key || is_superseded ||
                                            !record->is_key_due || !was_fault_free);
     if (status == 401 && !may_be_rejected)
--- a/lab/soak_world.c
+++ b/lab/soak_world.c
@@ -1,4 +1,4 @@
-/** The soak's world: links, searchers, configuration, and gateways as processes of their own. */
+/** The soak's environment: links, searchers, configuration and gateway processes. */
 #include "soak.h"
 
 #include <fcntl.h>
@@ -10,25 +10,25 @@
 #include "../platform/names.h"
 #include "ports.h"
 
-// The platform's bounds that the soak plays with.
+// The platform's time limits and the gateways' settings that the soak uses.
 #define CONTACT_US (5 * TS_US_PER_S)
 #define RETRY_RATIO 0.2
 #define RETRY_SLACK 60
 #define DRAIN_MS 3000
 #define GRACE_MS 6000
-// What a pipe that nobody reads holds: a few lines.
+// Capacity of a stalled log pipe: a few lines.
 #define STALLED_PIPE_BYTES 4096
 #define ZONES 2
 #define ROUTE_TIMEOUT_MS 1500
-// Until a searcher that ended is back.
+// Delay until a crashed searcher is replaced or restarted.
 #define RESTART_MIN_MS 300
 #define RESTART_MAX_MS 2500
-// A life of a searcher is born so much later than the one before it at least.
+// Difference between the start times of consecutive incarnations in their entries.
 #define INCARNATION_GAP_MS 1000
-// Keys that other writers use, so that they change entries too.
+// Number of keys used for invalid entries; small, so that these entries are overwritten too.
 #define FOREIGN_KEYS 8
 #define EVACUATION_US (3 * TS_US_PER_S)
-// What a cold searcher bears from all gateways: rate x overrun + slack requests in any second.
+// A cold searcher receives at most rate x overrun + slack requests per second from all gateways.
 #define WARMUP_MS 3000
 #define WARMUP_RATE 2
 #define WARMUP_OVERRUN 1.0
@@ -87,7 +87,8 @@
 
 // -- Searchers
 
-// Searchers of placed requests stand in the first zone, which is the first region.
+// Requests restricted to the first region may reach the searchers of zone 1 only, and after
+// EVACUATION_US no request may reach an evacuated zone.
 static void check_zone(const soak_searcher_t *searcher, const soak_request_record_t *record,
                        const char *id)
 {
@@ -105,7 +106,8 @@
                               (unsigned long)((now_us - s->evacuated_us) / TS_US_PER_MS));
 }
 
-// Over all gateways, whatever they know. A link that was spoilt lets requests through in bunches.
+// The limit holds for all gateways together, whether or not they are fault-free. Not checked while
+// the link is disturbed or just after, as it then delivers held requests in bursts.
 static void check_cold(soak_searcher_t *searcher)
 {
     ts_time_us_t now_us = ts_clock_now_us();
@@ -124,7 +126,7 @@
                               searcher->standin->id, arrivals);
 }
 
-// A request has come: it is noted whose it is, and what it says of the sender.
+// Records a request that a searcher has received and runs all checks of arrivals.
 static void handle_request(void *ctx, lab_searcher_t *standin, const char *request_id, bool runs)
 {
     soak_searcher_t *searcher = ctx;
@@ -204,7 +206,7 @@
     g_free(key);
 }
 
-// A searcher in its next life (`former`: the one before), or (NULL) a new one.
+// Adds the next incarnation of `previous` or, if NULL, a new searcher.
 static bool add_searcher(soak_t *s, unsigned service, unsigned replica,
                          const lab_searcher_t *previous)
 {
@@ -223,8 +225,8 @@
     if (previous != NULL)
         searcher->standin->born_ms = previous->born_ms + INCARNATION_GAP_MS;
     searcher->arrivals = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
-    searcher->cold_since_us =
-        s->started_us != 0 ? ts_clock_now_us() : 0; // those of the beginning are warm
+    // started_us is set before the initial searchers are added, so these are cold as well.
+    searcher->cold_since_us = s->started_us != 0 ? ts_clock_now_us() : 0;
     searcher->standin->ops = &searcher_ops;
     searcher->standin->ctx = searcher;
     searcher->standin->delay_ms = 5;
@@ -244,8 +246,9 @@
     g_free(key);
 }
 
-// A crash says nothing: the entry goes after three heartbeats, another start enters itself. It may
-// be back before that, under its id.
+// A crashed searcher does not deregister: its entry disappears after three missed heartbeats, and
+// it registers again when it restarts. It may be back under its id before the old entry has
+// disappeared.
 static void restart_searcher(uv_timer_t *restart_timer)
 {
     soak_searcher_t *searcher = restart_timer->data;
@@ -476,7 +479,7 @@
     g_string_free(seeds, TRUE);
 }
 
-// The writing end of a pipe that nobody reads; the other end stays open.
+// Returns the write end of a pipe whose read end stays open but is never read.
 static int open_stalled_pipe(void)
 {
     int fds[2] = {-1, -1};
@@ -491,7 +494,7 @@
     const soak_options_t *options = &node->soak->options;
     node->restarts_on_exit = node->process != NULL;
     if (node->restarts_on_exit)
-        return true; // it was killed a moment ago
+        return true; // killed, but its exit has not been noticed yet
     bool is_skewed = node->clock_skew_ms != 0 && options->skewed_program != NULL;
     char *program = (char *)(is_skewed ? options->skewed_program : options->program);
     char *arguments[] = {program, "gateway", "-s", node->settings_path, NULL};
--- a/lab/standin_searcher.c
+++ b/lab/standin_searcher.c
@@ -1,4 +1,4 @@
-/** A stand-in searcher. */
+/** Fake searcher. */
 #include "standin_searcher.h"
 
 #include <inttypes.h>
@@ -11,12 +11,12 @@
 
 #define HEAD_MAX 65536
 #define BODY_MAX (1U << 20)
-/* When the first life began, and how much later each one after it. */
+/* Start time of the first incarnation, and the difference to each following one. */
 #define FIRST_START_MS 1700000000000U
 #define RESTART_STEP_MS 1000U
 #define LISTEN_IP "127.0.0.1"
 #define BACKLOG 64
-/* Bytes that an answer which is broken off lacks. */
+/* Bytes missing at the end of a truncated response. */
 #define TRUNCATED_BYTES 8
 
 typedef struct connection {
@@ -25,9 +25,9 @@
     lab_searcher_t *searcher;
     ts_http_message_t request;
     GString *respond;
-    unsigned handles;       /* open ones */
-    ts_time_us_t active_us; /* when the last bytes came or an answer left */
-    bool is_rejected;       /* the request under way is not run */
+    unsigned handles;       /* open handles; 0: the connection is freed */
+    ts_time_us_t active_us; /* when bytes were last received or sent */
+    bool is_rejected;       /* the current request is not run */
     bool is_working;
     bool is_closing;
 } connection_t;
@@ -73,7 +73,7 @@
                            NAME_REQUEST_ID, id, extra);
 }
 
-/* The body of the answer to a request, for the caller to free. */
+/* Returns the body of the response to a request; the caller frees it. */
 static GString *compose_body(lab_searcher_t *searcher, const char *id)
 {
     GString *body = g_string_new_len(searcher->body->str, (gssize)searcher->body->len);
@@ -98,7 +98,7 @@
     g_free(fields);
 }
 
-/* An answer that ends with its connection; half of it or the whole. */
+/* Appends a response without Content-Length, with its complete body or half of it. */
 static void append_unframed(connection_t *connection, const char *id, bool is_whole)
 {
     lab_searcher_t *searcher = connection->searcher;
@@ -140,7 +140,8 @@
     }
 }
 
-/* Whether a request is refused was decided when it came; the rest as the searcher is now. */
+/* A request is rejected or not according to the behaviour when it was received; otherwise the
+ * current behaviour applies. */
 static lab_searcher_behaviour_t behaviour_for(const connection_t *connection)
 {
     if (connection->is_rejected)
@@ -350,7 +351,7 @@
     uv_read_start((uv_stream_t *)&connection->socket, allocate, read_bytes);
 }
 
-/* A stand-in that nobody can reach would make a test judge something else: the program ends. */
+/* Aborts on failure, as an unreachable searcher would make tests report misleading results. */
 static void begin_listening(lab_searcher_t *searcher)
 {
     struct sockaddr_in address;
@@ -377,7 +378,7 @@
     if (uv_is_closing((const uv_handle_t *)&searcher->socket) && searcher->is_socket_closed)
         listen_again((uv_handle_t *)&searcher->socket);
     else
-        searcher->is_restart_pending = true; // as soon as the socket is closed
+        searcher->is_restart_pending = true; // socket_closed restarts it
 }
 
 lab_searcher_t *lab_searcher_open(uv_loop_t *loop, const char *id, const char *service,
--- a/lab/standin_searcher.h
+++ b/lab/standin_searcher.h
@@ -1,6 +1,7 @@
 /**
- * A stand-in searcher, by the platform's published protocol: it signs its answers, refuses work
- * meant for another, and misbehaves on demand in the ways the pages list.
+ * Fake searcher that speaks the platform's published protocol: it signs its responses and rejects
+ * requests addressed to another instance. For tests it misbehaves on request in the ways that the
+ * protocol allows for.
  */
 #ifndef LAB_STANDIN_SEARCHER_H
 #define LAB_STANDIN_SEARCHER_H
@@ -12,32 +13,32 @@
 #include "tealspar/http_message.h"
 
 typedef enum lab_behaviour {
-    LAB_ANSWERS,               /**< one whole answer */
-    LAB_SHEDS,                 /**< 503, not run */
-    LAB_FAILS,                 /**< 500, run */
-    LAB_HANGS,                 /**< runs it and says nothing */
-    LAB_TRUNCATES,             /**< half of the body, then a reset */
-    LAB_CLOSE_DELIMITED,       /**< a whole body without a length, then an orderly end */
-    LAB_CLOSE_DELIMITED_RESET, /**< half of a body without a length, then a reset */
-    LAB_ANSWERS_TWICE,         /**< a second answer right after the first */
-    LAB_WRONG_ID,              /**< the answer carries another request's id */
+    LAB_ANSWERS,               /**< one complete response */
+    LAB_SHEDS,                 /**< 503, the request is not run */
+    LAB_FAILS,                 /**< 500, the request is run */
+    LAB_HANGS,                 /**< runs the request and does not respond */
+    LAB_TRUNCATES,             /**< response cut off within the body, then a reset */
+    LAB_CLOSE_DELIMITED,       /**< complete body without Content-Length, then end of stream */
+    LAB_CLOSE_DELIMITED_RESET, /**< half of a body without Content-Length, then a reset */
+    LAB_ANSWERS_TWICE,         /**< the response is sent twice */
+    LAB_WRONG_ID,              /**< the response carries another request's id */
     LAB_UNSIGNED,              /**< success without a signature */
     LAB_ENCODED,               /**< success with a content encoding */
-    LAB_MALFORMED,             /**< bytes that are no answer */
-    LAB_CLOSES_AFTER           /**< a whole answer, then closes although it did not say so */
+    LAB_MALFORMED,             /**< bytes that are not HTTP */
+    LAB_CLOSES_AFTER /**< complete response, then an end of stream without `Connection: close` */
 } lab_searcher_behaviour_t;
 
 struct lab_searcher;
 
-/** What a test may want to decide itself; each may be NULL. */
+/** Callbacks of a test; each may be NULL. */
 typedef struct lab_searcher_ops {
-    /** A request meant for it has come; it runs now, or is refused and never will. */
+    /** A request addressed to this searcher was received; `runs`: false if it is rejected. */
     void (*on_request)(void *ctx, struct lab_searcher *searcher, const char *request_id, bool runs);
-    /** The same request, whole, just before. */
+    /** Called just before `on_request` with the complete message. */
     void (*on_message)(void *ctx, struct lab_searcher *searcher, const ts_http_message_t *request);
-    /** It has ended under a request, or (NULL) by itself. */
+    /** The searcher crashed while it ran a request, or (NULL) by itself. */
     void (*on_crash)(void *ctx, struct lab_searcher *searcher, const char *request_id);
-    /** Composes the body of the answer to a request. */
+    /** Appends the body of the response to a request; replaces `body` of the searcher. */
     void (*compose_body)(void *ctx, struct lab_searcher *searcher, const char *request_id,
                          GString *body);
 } lab_searcher_ops_t;
@@ -48,47 +49,49 @@
     char *service;
     char *zone;
     unsigned port;
-    uint64_t born_ms; /**< as its entry tells it; rises with each life */
+    uint64_t born_ms; /**< start time in its entry; increases with each incarnation */
     lab_searcher_behaviour_t behaviour;
-    unsigned delay_ms; /**< before it answers */
-    unsigned
-        idle_reset_ms; /**< connections that rest longer are reset at the next bytes; 0: none */
-    unsigned connections_max; /**< more at once are reset; 0: any number */
-    const char
-        *crash_target; /**< it ends in place of answering targets with this text; NULL: none */
+    unsigned delay_ms;        /**< delay of each response */
+    unsigned idle_reset_ms;   /**< connections idle for longer are reset when the next bytes arrive;
+                                 0: never */
+    unsigned connections_max; /**< further connections are reset; 0: no limit */
+    const char *crash_target; /**< crashes instead of responding if the request target contains
+                                 this; NULL: never */
     uv_loop_t *loop;
-    bool is_socket_closed;       /**< the socket of the life that ended is closed */
-    bool is_restart_pending;     /**< it begins its next life when that is so */
-    bool has_crashed;            /**< it listens no more and its connections are reset */
-    GPtrArray *open_connections; /**< connections that are open */
-    GString *body;               /**< of its answers */
-    unsigned runs;               /**< requests it ran */
-    unsigned misdirected;        /**< requests meant for another */
+    bool is_socket_closed;       /**< the listening socket is closed after a crash */
+    bool is_restart_pending;     /**< restart as soon as the socket is closed */
+    bool has_crashed;            /**< not listening; connections are reset */
+    GPtrArray *open_connections; /**< connection_t[] */
+    GString *body;               /**< of its responses */
+    unsigned runs;               /**< requests run so far */
+    unsigned misdirected;        /**< requests addressed to another instance */
     unsigned connections;        /**< accepted so far */
     unsigned open;               /**< connections open now */
-    unsigned connections_reset;  /**< connections reset for the two reasons above */
-    unsigned closed_while_busy;  /**< connections that ended while it worked */
-    GPtrArray *requests; /**< texts of the requests it got: target, fields, body; not with ops */
+    unsigned
+        connections_reset; /**< connections reset because of idle_reset_ms or connections_max */
+    unsigned closed_while_busy; /**< connections closed before the response was sent */
+    GPtrArray *requests; /**< received requests as text: method, target, fields, body; only if `ops`
+                            is NULL */
     const lab_searcher_ops_t *ops; /**< NULL: `body` for every request */
     void *ctx;
 } lab_searcher_t;
 
-/** Listens on a free port of 127.0.0.1. Lives as long as the loop. */
+/** Opens a searcher on a free port of 127.0.0.1. It is never freed. */
 lab_searcher_t *lab_searcher_open(uv_loop_t *loop, const char *id, const char *service,
                                   const char *zone);
 /**
- * Ends it as a crash would, under a request or (NULL) by itself: it listens no more, and its
- * connections are reset.
+ * Simulates a crash while a request runs, or (NULL) by itself: stops listening and resets all
+ * connections.
  */
 void lab_searcher_crash(lab_searcher_t *searcher, const char *request_id);
 /**
- * One that has ended begins its next life: it listens again at its address and knows nothing. When
- * called from `ended`, it does so before its connections are reset.
+ * Restarts a crashed searcher as its next incarnation at the same address. When called from
+ * `on_crash`, it listens again before its connections are reset.
  */
 void lab_searcher_restart(lab_searcher_t *searcher);
-/** Its entry of the registry, as JSON; g_free. */
+/** Composes its registry entry as JSON; caller frees with g_free. */
 char *lab_searcher_entry(const lab_searcher_t *searcher, bool is_draining);
-/** Value of a field in the latest request it got, or NULL; g_free. */
+/** Value of a header field in the last received request, or NULL; caller frees with g_free. */
 char *lab_searcher_last_header(const lab_searcher_t *searcher, const char *name);
 
 #endif
--- a/lab/standin_store.c
+++ b/lab/standin_store.c
@@ -1,4 +1,4 @@
-/** A stand-in of the platform's configuration service. */
+/** Fake configuration service. */
 #include "standin_store.h"
 
 #include <glib.h>
@@ -22,7 +22,7 @@
 typedef struct change {
     uint64_t revision;
     char *key;
-    char *value; /* NULL: the key is gone */
+    char *value; /* NULL: the key was deleted */
 } change_t;
 
 typedef struct watch {
@@ -36,16 +36,16 @@
     ts_listener_t *listener;
     uv_timer_t tick;
     GTree *entries;     /* key -> change_t */
-    GPtrArray *history; /* of change_t */
-    GPtrArray *watches; /* of waiter_t */
+    GPtrArray *history; /* change_t[] */
+    GPtrArray *watches; /* watch_t[] */
     uint64_t revision;
-    uint64_t dropped_revision; /* history up to here is gone */
+    uint64_t dropped_revision; /* the history up to this revision was dropped */
     lab_store_mode_t mode;
-    uint64_t epoch;  /* in all answers; 0: not told */
-    GPtrArray *copy; /* of change_t: the entries of the copy */
+    uint64_t epoch;  /* in all responses; 0: not reported */
+    GPtrArray *copy; /* change_t[]: the entries of the copy */
     uint64_t copy_revision;
     uint64_t write_count;
-    GHashTable *last_writes; /* key -> how many writes there were with its last one, as a pointer */
+    GHashTable *last_writes; /* key -> write_count after its last write, as a pointer */
     unsigned page_size;
     unsigned call_count;
 };
@@ -109,7 +109,7 @@
     json_decref(document);
 }
 
-/* Value of a query parameter, unescaped; "" when it is not there. */
+/* Unescaped value of a query parameter; "" if it is missing. */
 static char *get_query_parameter(const char *target, const char *name)
 {
     char *pattern = g_strdup_printf("[?&]%s=([^&]*)", name);
@@ -250,7 +250,7 @@
 
 static const ts_listener_ops_t store_ops = {handle_call, handle_caller_close};
 
-/* Answers the watches that something came for, or whose time is over. */
+/* Answers watches that have new changes or have timed out. */
 static void answer_due_watches(lab_store_t *store)
 {
     ts_time_us_t now_us = ts_clock_now_us();
@@ -345,7 +345,7 @@
     store->copy_revision = store->revision;
 }
 
-/* Keys of the history after the copy, each once, in no order. */
+/* Set of the keys written since the copy was taken. */
 static GHashTable *collect_keys_since_copy(const lab_store_t *store)
 {
     GHashTable *keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -417,7 +417,7 @@
 {
     store->mode = mode;
     if (mode == LAB_STORE_SILENT) {
-        g_ptr_array_set_size(store->watches, 0); /* the calls that wait are never answered */
+        g_ptr_array_set_size(store->watches, 0); /* pending watches are never answered */
     }
 }
 
--- a/lab/standin_store.h
+++ b/lab/standin_store.h
@@ -1,6 +1,6 @@
 /**
- * A stand-in of the platform's configuration service, by its published protocol: list by pages,
- * watch by long calls, a history that can be forgotten, and the ways it fails.
+ * Fake configuration service that speaks the platform's published protocol: paged lists, watches by
+ * long polling, a history that can be dropped, and the service's failure modes.
  */
 #ifndef LAB_STANDIN_STORE_H
 #define LAB_STANDIN_STORE_H
@@ -12,42 +12,46 @@
 
 typedef enum lab_store_mode {
     LAB_STORE_NORMAL,
-    LAB_STORE_UNAVAILABLE, /**< every call gets 503 */
-    LAB_STORE_THROTTLED,   /**< every call gets 429 */
-    LAB_STORE_NO_HISTORY,  /**< it keeps no history: every wait gets 410 */
-    LAB_STORE_SILENT       /**< no call is answered, nor those that wait, also not later */
+    LAB_STORE_UNAVAILABLE, /**< responds to every call with 503 */
+    LAB_STORE_THROTTLED,   /**< responds to every call with 429 */
+    LAB_STORE_NO_HISTORY,  /**< keeps no history: responds to every watch with 410 */
+    LAB_STORE_SILENT /**< responds to no call; pending watches are never answered, even after a
+                        change of mode */
 } lab_store_mode_t;
 
 /** Listens on 127.0.0.1 at the port; NULL when that fails. */
 lab_store_t *lab_store_open(uv_loop_t *loop, unsigned port);
-/** Writes an entry, and answers the watches that wait for it. */
+/** Writes an entry and answers the watches of it. */
 void lab_store_put(lab_store_t *store, const char *key, const char *value);
 void lab_store_delete(lab_store_t *store, const char *key);
-/** The history is gone: watches that begin before now get 410; those that wait are cut. */
+/** Drops the history: pending watches and later ones that begin at an earlier revision get 410. */
 void lab_store_drop_history(lab_store_t *store);
 void lab_store_set_mode(lab_store_t *store, lab_store_mode_t mode);
-/** The calls that wait get 503. */
+/** Answers pending watches with 503. */
 void lab_store_fail_watches(lab_store_t *store);
-/** Takes a copy of what the store holds now; the one taken before is dropped. */
+/** Copies the current entries and revision; replaces the previous copy. */
 void lab_store_take_copy(lab_store_t *store);
-/** A key that was written since the copy was taken, and its value; NULL: it was gone. */
+/** Reports a key written since the copy was taken, and its latest value; NULL: deleted. */
 typedef void (*lab_store_lost_write_t)(void *ctx, const char *key, const char *value);
 /**
- * Comes back from that copy, with its epoch one higher: later writes are lost, and their revisions
- * are given out again. The calls that wait are never answered. `lost` (may be NULL) is told what
- * the writers are to write again.
+ * Restores the copy and increments the epoch. Later writes are lost and their revisions are reused.
+ * Pending watches are never answered. `lost` (may be NULL) receives the lost writes, which their
+ * writers have to repeat.
  */
 void lab_store_restore(lab_store_t *store, lab_store_lost_write_t lost, void *ctx);
-/** Writes so far; no restore takes that back. */
+/** Number of writes so far, including those lost by a restore. */
 uint64_t lab_store_write_count(const lab_store_t *store);
-/** Writes or (`value` NULL) deletes an entry again, unless that was done after `writes` of them. */
+/**
+ * Repeats a write or (`value` NULL) a deletion, unless the key was written after the first `writes`
+ * writes.
+ */
 void lab_store_rewrite(lab_store_t *store, const char *key, const char *value, uint64_t writes);
-/** Epoch in its answers from now on; 0: they tell none. Begins at 1. */
+/** Sets the epoch reported in responses; 0: none is reported. Initially 1. */
 void lab_store_set_epoch(lab_store_t *store, uint64_t epoch);
 uint64_t lab_store_epoch(const lab_store_t *store);
-/** Entries on one page of a list. */
+/** Sets the maximum number of entries on a page of a list. */
 void lab_store_set_page_size(lab_store_t *store, unsigned entries);
-/** Calls so far. */
+/** Number of calls received so far. */
 unsigned lab_store_call_count(const lab_store_t *store);
 
 #endif
--- a/tests/lab/test_checks.c
+++ b/tests/lab/test_checks.c
@@ -1,4 +1,4 @@
-/** The lab's checks: each must catch a violation planted for it, and pass what is right. */
+/** The lab's checks: each must detect its kind of violation and accept correct input. */
 #include "../test_support.h"
 
 #include <glib/gstdio.h>
@@ -23,7 +23,7 @@
         json_array_extend(hits, json_object_get(answer, "hits"));
         json_decref(answer);
     }
-    /* best first, as the front merges */
+    /* sort by descending score, as the front does */
     for (size_t i = 0; i < json_array_size(hits); i++) {
         for (size_t j = 0; j + 1 < json_array_size(hits); j++) {
             json_t *left = json_array_get(hits, j);
@@ -82,7 +82,7 @@
     assert_int_equal(check(make_answer(3, SNAPSHOT), "q", "other text").wrong_answer, 1);
     json_t *incomplete = make_answer(3, SNAPSHOT);
     json_t *hits = json_object_get(incomplete, "hits");
-    json_array_append(hits, json_array_get(hits, 0)); /* one hit doubled */
+    json_array_append(hits, json_array_get(hits, 0)); /* a duplicate hit */
     assert_int_equal(check(incomplete, "q", QUERY).wrong_answer, 1);
 }
 
@@ -139,7 +139,8 @@
     const char *lost = "100000 5 k q1 lost io 0 0 0 0\n";
     assert_int_equal(judge("", lost, 99000, 0).cut_by_stop, 1);
     assert_int_equal(judge("", lost, 50000, 0).cut_by_stop, 0);
-    assert_int_equal(judge("", lost, 99000, 99500).cut_by_stop, 0); /* the kill's account */
+    assert_int_equal(judge("", lost, 99000, 99500).cut_by_stop,
+                     0); /* lost because of the kill, not the stop */
 }
 
 int main(void)
--- a/tests/lab/test_fuzz.c
+++ b/tests/lab/test_fuzz.c
@@ -1,4 +1,4 @@
-/** The fuzzer: a fixed set of seeds holds every promise; runs replay; planted bugs are found. */
+/** The fuzzer: fixed seeds show no violation, runs are reproducible, planted bugs are found. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -22,16 +22,17 @@
         answered += finding.answered;
         g_array_free(actions, TRUE);
     }
-    assert_true(answered > SEEDS); /* the fleet did work meanwhile */
+    assert_true(answered > SEEDS); /* the fleet has really answered queries */
 }
 
-/* Seeds that once found something, each with its cause (docs/FAILURES.md, 15, 16 and 73). */
+/* Seeds that have found a bug, with its cause. */
 static void test_seeds_that_failed_once(void **state)
 {
     static const uint64_t seeds[] = {
-        31380,   /* a node that stood still counted that time as listening to its peers */
-        8675332, /* a node took the old document before it knew whom to listen to */
-        31539,   /* a node that started asked the one other of its zone, which stood still, only */
+        31380,   /* after a process stall, a node counted the stall as time spent listening to its
+                    peers */
+        8675332, /* a node loaded an old configuration before it knew its peers */
+        31539, /* a starting node asked only one other node of its zone, and that one was stalled */
     };
     for (size_t i = 0; i < G_N_ELEMENTS(seeds); i++) {
         GArray *actions = lab_fuzz_generate(seeds[i], ACTIONS);
@@ -54,7 +55,7 @@
     g_array_free(actions, TRUE);
 }
 
-/* Runs the fuzzer with a planted bug; returns its exit code. */
+/* Runs the fuzzer with a planted bug; returns its exit code, -1: killed by a signal. */
 static int fuzz_planted(const char *bug)
 {
     char *self = g_file_read_link("/proc/self/exe", NULL);
--- a/tests/lab/test_ports.c
+++ b/tests/lab/test_ports.c
@@ -1,7 +1,7 @@
 /**
- * Ports of test programs that run at once. Two programs that each look whether a port is free, and
- * close it again before they listen, give the same one out: gateways of six programs at a time
- * ended with "an address cannot be listened on", in two of six runs beside a busy machine.
+ * Ports of test programs that run in parallel. If programs only check that a port is free and close
+ * it again before they listen on it, two can choose the same one. With six programs in parallel,
+ * gateways failed with "an address cannot be listened on" in two of six runs on a busy machine.
  */
 #include "../test_support.h"
 
@@ -15,7 +15,7 @@
 #define PORTS_PER_PROGRAM 150
 #define PORTS_END 65536
 
-/* Draws ports, tells them, and lives on until the other end of `stay` is closed. */
+/* Writes allocated ports to `ports_fd`, then waits until the other end of `exit_fd` is closed. */
 static void allocate_ports(int ports_fd, int exit_fd)
 {
     char end = 0;
@@ -54,7 +54,7 @@
     assert_int_equal(twice, 0);
 }
 
-/* A program that needs more ports than it took at first goes on. */
+/* A program that needs more ports than a block has reserves further blocks. */
 static void test_ports_do_not_run_out(void **state)
 {
     unsigned last = 0;
--- a/tests/lab/test_soak_checks.c
+++ b/tests/lab/test_soak_checks.c
@@ -1,4 +1,4 @@
-/** The soak's checks: each must catch what is planted for it, and pass what is right. */
+/** The soak's checks: each must detect its kind of violation and accept correct input. */
 #include "../test_support.h"
 
 #include <string.h>
@@ -19,7 +19,7 @@
     return memcmp(right, left, TS_RECORD_BYTES);
 }
 
-/* What a gateway should bring for parts of services a and b. */
+/* Correct merged body for parts of services a and b. */
 static GString *right_body(const char *request_id)
 {
     GString *body = g_string_new(NULL);
@@ -34,10 +34,10 @@
 {
     soak_gathered_t answer = {"r7", signatures, 1, body->str, body->len};
     uint64_t services = 0;
-    const char *wrong = soak_check_gathered(&answer, service_of, NULL, &services);
-    if (wrong == NULL)
+    const char *error = soak_check_gathered(&answer, service_of, NULL, &services);
+    if (error == NULL)
         assert_int_equal(services, 3);
-    return wrong;
+    return error;
 }
 
 static void test_right_answer_passes(void **state)
@@ -51,10 +51,11 @@
 static void test_wrong_answers_are_seen(void **state)
 {
     GString *body = right_body("r7");
-    assert_non_null(check("sig.1.5.r7,sig.2.9.r8", body)); /* another request's part */
-    assert_non_null(check("sig.1.5.r7,sig.1.6.r7", body)); /* one service twice */
-    assert_non_null(check("sig.1.5.r7,sig.9.9.r7", body)); /* nobody's */
-    assert_non_null(check("sig.1.5.r7,sig.3.9.r7", body)); /* records of a part that is not named */
+    assert_non_null(check("sig.1.5.r7,sig.2.9.r8", body)); /* part of another request */
+    assert_non_null(check("sig.1.5.r7,sig.1.6.r7", body)); /* the same service twice */
+    assert_non_null(check("sig.1.5.r7,sig.9.9.r7", body)); /* unknown instance */
+    assert_non_null(check("sig.1.5.r7,sig.3.9.r7",
+                          body)); /* contains records of a service without a signature */
     assert_non_null(check("sig.1.5.r7", body));
     body->str[3] ^= 1;
     assert_non_null(check("sig.1.5.r7,sig.2.9.r7", body));
@@ -76,17 +77,19 @@
 {
     soak_budget_log_t log = {g_array_new(FALSE, FALSE, sizeof(ts_time_us_t)),
                              g_array_new(FALSE, FALSE, sizeof(ts_time_us_t))};
-    add(log.requests, 100, 100 * SECOND, SECOND / 10); /* ten a second for ten seconds */
+    add(log.requests, 100, 100 * SECOND, SECOND / 10); /* 10 per second for 10 s */
     add(log.extra_arrivals, 24, 105 * SECOND, SECOND / 5);
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 5) <= 0);
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 3) > 0);
-    add(log.extra_arrivals, 10, 130 * SECOND, SECOND / 100); /* long after the last request */
+    add(log.extra_arrivals, 10, 130 * SECOND,
+        SECOND / 100); /* no request in any of the windows considered */
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 9) > 0);
     g_array_unref(log.requests);
     g_array_unref(log.extra_arrivals);
 }
 
-/* A searcher that is cold gets one request too many within a second. */
+/* Requests to a cold searcher in a second: an arrival exactly one window before the last one does
+ * not count. */
 static void test_arrivals_of_a_second(void **state)
 {
     GArray *arrivals = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
@@ -107,7 +110,7 @@
     for (ts_time_us_t at_us = 10 * SECOND; at_us < 20 * SECOND; at_us += SECOND / 2)
         g_array_append_val(times, at_us);
     assert_int_equal(soak_max_within(times, 5 * SECOND), 10);
-    ts_time_us_t more_us = 20 * SECOND - 1; // one more within the last window alone
+    ts_time_us_t more_us = 20 * SECOND - 1; // only the last window contains it
     g_array_append_val(times, more_us);
     assert_int_equal(soak_max_within(times, 5 * SECOND), 11);
     assert_int_equal(soak_max_within(times, SECOND / 4), 1);
