--- a/lab/soak_caller.c
+++ b/lab/soak_caller.c
@@ -31,7 +31,7 @@
 typedef struct call {
     soak_t *s;
     soak_node_t *node;
-    unsigned incarnation; // incarnation of `node` when the request was sent
+    unsigned incarnation; // of `node` when the request was sent
     soak_route_t route;
     uint64_t version; // newest configuration when the request was sent; names the marker route
     ts_time_us_t sent_us;
--- a/lab/soak_crashes.c
+++ b/lab/soak_crashes.c
@@ -5,6 +5,7 @@
 #define CONTACT_US (5 * TS_US_PER_S)
 // Arrivals of a fatal request that are tolerated after that time.
 #define LATE_ARRIVALS_MAX 3
+// Number of crashes after which CONTACT_US begins.
 #define CRASHES_COUNTED 3
 // Limit of the crashes by one fatal request: its first gather sends each part at most twice, and
 // three isolated sends follow. Doubled because a gateway that is cut off from the others may not
--- a/lab/standin_searcher.c
+++ b/lab/standin_searcher.c
@@ -24,7 +24,7 @@
     uv_timer_t timer;
     lab_searcher_t *searcher;
     ts_http_message_t request;
-    GString *respond;
+    GString *response;
     unsigned handles;       /* open handles; 0: the connection is freed */
     ts_time_us_t active_us; /* when bytes were last received or sent */
     bool is_rejected;       /* the current request is not run */
@@ -37,7 +37,7 @@
     connection_t *connection = handle->data;
     if (--connection->handles == 0) {
         ts_http_message_clear(&connection->request);
-        g_string_free(connection->respond, TRUE);
+        g_string_free(connection->response, TRUE);
         g_free(connection);
     }
 }
@@ -61,7 +61,7 @@
 
 static void send_bytes(connection_t *connection)
 {
-    uv_buf_t buffer = uv_buf_init(connection->respond->str, (unsigned)connection->respond->len);
+    uv_buf_t buffer = uv_buf_init(connection->response->str, (unsigned)connection->response->len);
     (void)uv_try_write((uv_stream_t *)&connection->socket, &buffer, 1);
     connection->active_us = ts_clock_now_us();
 }
@@ -69,7 +69,7 @@
 static void append_response_head(connection_t *connection, unsigned status, const char *id,
                                  const char *extra)
 {
-    g_string_append_printf(connection->respond, "HTTP/1.1 %u X\r\n%s: %s\r\n%s", status,
+    g_string_append_printf(connection->response, "HTTP/1.1 %u X\r\n%s: %s\r\n%s", status,
                            NAME_REQUEST_ID, id, extra);
 }
 
@@ -93,20 +93,20 @@
         g_strdup_printf("%s: sig.%s.%u.%s\r\n%sContent-Length: %zu\r\n\r\n", NAME_SIGNATURE,
                         searcher->id, searcher->runs, id, extra, body->len);
     append_response_head(connection, status, id, fields);
-    g_string_append_len(connection->respond, body->str, (gssize)body->len);
+    g_string_append_len(connection->response, body->str, (gssize)body->len);
     g_string_free(body, TRUE);
     g_free(fields);
 }
 
 /* Appends a response without Content-Length, with its complete body or half of it. */
-static void append_unframed(connection_t *connection, const char *id, bool is_whole)
+static void append_close_delimited(connection_t *connection, const char *id, bool is_whole)
 {
     lab_searcher_t *searcher = connection->searcher;
     GString *body = compose_body(searcher, id);
     char *fields = g_strdup_printf("%s: sig.%s.%u.%s\r\n\r\n", NAME_SIGNATURE, searcher->id,
                                    searcher->runs, id);
     append_response_head(connection, 200, id, fields);
-    g_string_append_len(connection->respond, body->str,
+    g_string_append_len(connection->response, body->str,
                         (gssize)(is_whole ? body->len : body->len / 2));
     g_string_free(body, TRUE);
     g_free(fields);
@@ -117,22 +117,22 @@
     switch (connection->searcher->behaviour) {
     case LAB_TRUNCATES:
         append_response(connection, 200, id, "");
-        g_string_truncate(connection->respond, connection->respond->len - TRUNCATED_BYTES);
+        g_string_truncate(connection->response, connection->response->len - TRUNCATED_BYTES);
         send_bytes(connection);
         close_connection(connection, true);
         break;
     case LAB_CLOSE_DELIMITED:
-        append_unframed(connection, id, true);
+        append_close_delimited(connection, id, true);
         send_bytes(connection);
         close_connection(connection, false);
         break;
     case LAB_CLOSE_DELIMITED_RESET:
-        append_unframed(connection, id, false);
+        append_close_delimited(connection, id, false);
         send_bytes(connection);
         close_connection(connection, true);
         break;
     case LAB_MALFORMED:
-        g_string_append(connection->respond, "these bytes are no answer\r\n\r\n");
+        g_string_append(connection->response, "these bytes are no answer\r\n\r\n");
         send_bytes(connection);
         break;
     default:
@@ -197,7 +197,7 @@
         lab_searcher_crash(searcher, id);
         return;
     }
-    g_string_truncate(connection->respond, 0);
+    g_string_truncate(connection->response, 0);
     connection->is_working = false;
     switch (behaviour_for(connection)) {
     case LAB_ANSWERS:
@@ -266,8 +266,8 @@
     const char *expected = ts_http_message_find(&connection->request, NAME_EXPECTED_INSTANCE);
     if (expected != NULL && strcmp(expected, searcher->id) != 0) {
         searcher->misdirected++;
-        g_string_truncate(connection->respond, 0);
-        g_string_append(connection->respond,
+        g_string_truncate(connection->response, 0);
+        g_string_append(connection->response,
                         "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n");
         send_bytes(connection);
         ts_http_message_reset(&connection->request);
@@ -331,7 +331,7 @@
     connection->searcher->open++;
     g_ptr_array_add(connection->searcher->open_connections, connection);
     connection->active_us = ts_clock_now_us();
-    connection->respond = g_string_new(NULL);
+    connection->response = g_string_new(NULL);
     connection->handles = 2;
     ts_http_message_init(&connection->request, true, HEAD_MAX, BODY_MAX);
     uv_tcp_init(server->loop, &connection->socket);
--- a/lab/standin_searcher.h
+++ b/lab/standin_searcher.h
@@ -1,7 +1,7 @@
 /**
  * Fake searcher that speaks the platform's published protocol: it signs its responses and rejects
- * requests addressed to another instance. For tests it misbehaves on request in the ways that the
- * protocol allows for.
+ * requests addressed to another instance. Tests can select the misbehaviours that the platform's
+ * documentation lists.
  */
 #ifndef LAB_STANDIN_SEARCHER_H
 #define LAB_STANDIN_SEARCHER_H
@@ -12,7 +12,7 @@
 
 #include "tealspar/http_message.h"
 
-typedef enum lab_behaviour {
+typedef enum lab_searcher_behaviour {
     LAB_ANSWERS,               /**< one complete response */
     LAB_SHEDS,                 /**< 503, the request is not run */
     LAB_FAILS,                 /**< 500, the request is run */
@@ -52,26 +52,22 @@
     uint64_t born_ms; /**< start time in its entry; increases with each incarnation */
     lab_searcher_behaviour_t behaviour;
     unsigned delay_ms;        /**< delay of each response */
-    unsigned idle_reset_ms;   /**< connections idle for longer are reset when the next bytes arrive;
-                                 0: never */
+    unsigned idle_reset_ms;   /**< idle time after which the next bytes cause a reset; 0: never */
     unsigned connections_max; /**< further connections are reset; 0: no limit */
-    const char *crash_target; /**< crashes instead of responding if the request target contains
-                                 this; NULL: never */
+    const char *crash_target; /**< crashes on request targets that contain this; NULL: never */
     uv_loop_t *loop;
-    bool is_socket_closed;       /**< the listening socket is closed after a crash */
-    bool is_restart_pending;     /**< restart as soon as the socket is closed */
-    bool has_crashed;            /**< not listening; connections are reset */
-    GPtrArray *open_connections; /**< connection_t[] */
-    GString *body;               /**< of its responses */
-    unsigned runs;               /**< requests run so far */
-    unsigned misdirected;        /**< requests addressed to another instance */
-    unsigned connections;        /**< accepted so far */
-    unsigned open;               /**< connections open now */
-    unsigned
-        connections_reset; /**< connections reset because of idle_reset_ms or connections_max */
-    unsigned closed_while_busy; /**< connections closed before the response was sent */
-    GPtrArray *requests; /**< received requests as text: method, target, fields, body; only if `ops`
-                            is NULL */
+    bool is_socket_closed;         /**< the listening socket is closed after a crash */
+    bool is_restart_pending;       /**< restart as soon as the socket is closed */
+    bool has_crashed;              /**< not listening; connections are reset */
+    GPtrArray *open_connections;   /**< connection_t[] */
+    GString *body;                 /**< of its responses */
+    unsigned runs;                 /**< requests run so far */
+    unsigned misdirected;          /**< requests addressed to another instance */
+    unsigned connections;          /**< accepted so far */
+    unsigned open;                 /**< connections open now */
+    unsigned connections_reset;    /**< by idle_reset_ms or connections_max */
+    unsigned closed_while_busy;    /**< connections closed before the response was sent */
+    GPtrArray *requests;           /**< text of each received request; only if `ops` is NULL */
     const lab_searcher_ops_t *ops; /**< NULL: `body` for every request */
     void *ctx;
 } lab_searcher_t;
--- a/lab/standin_store.h
+++ b/lab/standin_store.h
@@ -15,13 +15,12 @@
     LAB_STORE_UNAVAILABLE, /**< responds to every call with 503 */
     LAB_STORE_THROTTLED,   /**< responds to every call with 429 */
     LAB_STORE_NO_HISTORY,  /**< keeps no history: responds to every watch with 410 */
-    LAB_STORE_SILENT /**< responds to no call; pending watches are never answered, even after a
-                        change of mode */
+    LAB_STORE_SILENT /**< never responds to calls, nor to pending watches after a change of mode */
 } lab_store_mode_t;
 
-/** Listens on 127.0.0.1 at the port; NULL when that fails. */
+/** Listens on 127.0.0.1 at the port; NULL on failure. */
 lab_store_t *lab_store_open(uv_loop_t *loop, unsigned port);
-/** Writes an entry and answers the watches of it. */
+/** Writes an entry and answers the pending watches whose prefix matches its key. */
 void lab_store_put(lab_store_t *store, const char *key, const char *value);
 void lab_store_delete(lab_store_t *store, const char *key);
 /** Drops the history: pending watches and later ones that begin at an earlier revision get 410. */
--- a/tests/lab/test_soak_checks.c
+++ b/tests/lab/test_soak_checks.c
@@ -81,15 +81,14 @@
     add(log.extra_arrivals, 24, 105 * SECOND, SECOND / 5);
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 5) <= 0);
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 3) > 0);
-    add(log.extra_arrivals, 10, 130 * SECOND,
-        SECOND / 100); /* no request in any of the windows considered */
+    /* no request in any of the windows considered */
+    add(log.extra_arrivals, 10, 130 * SECOND, SECOND / 100);
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 9) > 0);
     g_array_unref(log.requests);
     g_array_unref(log.extra_arrivals);
 }
 
-/* Requests to a cold searcher in a second: an arrival exactly one window before the last one does
- * not count. */
+/* Requests to a cold searcher in one second; the window excludes its start. */
 static void test_arrivals_of_a_second(void **state)
 {
     GArray *arrivals = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
