--- a/include/tealspar/idempotency.h
+++ b/include/tealspar/idempotency.h
@@ -21,8 +21,8 @@
 ts_idempotency_t *ts_idempotency_create(ts_time_us_t retention_us);
 void ts_idempotency_destroy(ts_idempotency_t *table);
 /** Decides on a request and, for RUN, marks its id as dispatched. */
-ts_idempotency_decision_t ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
-                                               ts_time_us_t now_us);
+ts_idempotency_decision_t ts_idempotency_admit(ts_idempotency_t *table,
+                                               const ts_query_params_t *work, ts_time_us_t now_us);
 /** Removes the id of a dispatch that was certainly not executed; it may be dispatched again. */
 void ts_idempotency_release(ts_idempotency_t *table, const char *request_id);
 /** Stores a copy of the outcome of a dispatch; ignored if the id is not in the table. */
--- a/include/tealspar/messages.h
+++ b/include/tealspar/messages.h
@@ -16,15 +16,15 @@
 #include "tealspar/view.h"
 
 /** Whether a subrequest was executed; determines what a refusal may guarantee. */
-typedef enum ts_run {
-    TS_RUN_NOT,     /**< not executed */
-    TS_RUN_DONE,    /**< executed to completion */
-    TS_RUN_MAYBE,   /**< may have been executed, or may still be */
-    TS_RUN_NOT_HERE /**< not executed by this owner; a previous owner may have executed it */
-} ts_run_t;
+typedef enum ts_execution {
+    TS_EXECUTION_NONE,      /**< not executed */
+    TS_EXECUTION_COMPLETED, /**< executed to completion */
+    TS_EXECUTION_POSSIBLE,  /**< may have been executed, or may still be */
+    TS_EXECUTION_NOT_HERE /**< not executed by this owner; a previous owner may have executed it */
+} ts_execution_t;
 
 /** Parameters of a query, shared by all its subrequests. Immutable, reference-counted. */
-typedef struct ts_work {
+typedef struct ts_query_params {
     int references;
     char *request_id;
     char *kind;
@@ -36,18 +36,18 @@
     uint32_t priority;
     uint32_t slot_share_percent;
     ts_time_us_t deadline_us; /**< by the clock of this process */
-} ts_work_t;
+} ts_query_params_t;
 
-ts_work_t *ts_work_ref(ts_work_t *work);
-void ts_work_unref(ts_work_t *work);
+ts_query_params_t *ts_query_params_ref(ts_query_params_t *work);
+void ts_query_params_unref(ts_query_params_t *work);
 
 /** A subrequest for one shard to one backend. */
-typedef struct ts_part {
+typedef struct ts_subrequest {
     uint64_t counter; /**< subrequest id: incarnation hash (high half) and sequence number */
     uint64_t backend; /**< ts_backend_t.id */
     uint64_t shard;   /**< ts_shard_t.id */
     uint64_t wanted_snapshot; /**< preferred index version; 0: any */
-} ts_part_t;
+} ts_subrequest_t;
 
 typedef struct ts_hit {
     char *id;
@@ -59,7 +59,7 @@
 typedef struct ts_subreply {
     uint64_t counter;
     ts_error_t error;
-    ts_run_t run;
+    ts_execution_t run;
     uint64_t snapshot; /**< index version that answered */
     uint64_t total;    /**< all hits in the shard, including those beyond the limit */
     ts_hit_t *hits;
@@ -81,13 +81,13 @@
 typedef struct ts_subrequests_message {
     ts_message_t head;
     uint64_t peer; /**< destination (mesh) or sender (broker) */
-    ts_work_t *work;
+    ts_query_params_t *work;
     size_t parts_count;
-    ts_part_t parts[];
+    ts_subrequest_t parts[];
 } ts_subrequests_message_t;
 
 /** Creates a message with space for `parts_count` parts; takes a reference to `work`. */
-ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_work_t *work,
+ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_query_params_t *work,
                                                  size_t parts_count);
 
 /** One subreply: sent to the local front, or to the mesh for delivery to `peer`. */
@@ -121,13 +121,13 @@
                                        const uint8_t *bytes, size_t length);
 
 /** The connection to a peer was closed. */
-typedef struct ts_peer_message {
+typedef struct ts_peer_lost_message {
     ts_message_t head;
     uint64_t peer;
     char *name;
-} ts_peer_message_t;
+} ts_peer_lost_message_t;
 
-ts_peer_message_t *ts_peer_message(uint64_t peer, const char *name);
+ts_peer_lost_message_t *ts_peer_lost_message(uint64_t peer, const char *name);
 
 /** One machine of the platform's list. */
 typedef struct ts_machine {
--- a/include/tealspar/query-t.h
+++ b/include/tealspar/query-t.h
@@ -78,7 +78,7 @@
 
 /** One subrequest in flight. */
 typedef struct ts_attempt {
-    uint64_t counter; /**< id of the subrequest, as ts_part_t.counter */
+    uint64_t counter; /**< id of the subrequest, as ts_subrequest_t.counter */
     uint64_t peer;    /**< node that it was sent to; TS_PEER_SELF: this one */
     ts_query_t *query;
     uint32_t fragment_index; /**< into the query's fragments */
--- a/include/tealspar/searcher_client.h
+++ b/include/tealspar/searcher_client.h
@@ -33,8 +33,8 @@
      * Queries one shard. `wanted_snapshot`: index version to be queried; 0: any. `left_us`: time
      * until the deadline.
      */
-    ts_searcher_call_t *(*search)(ts_searcher_t *searcher, const ts_work_t *work, const char *shard,
-                                  uint64_t wanted_snapshot, ts_time_us_t left_us,
+    ts_searcher_call_t *(*search)(ts_searcher_t *searcher, const ts_query_params_t *work,
+                                  const char *shard, uint64_t wanted_snapshot, ts_time_us_t left_us,
                                   ts_searcher_done_t done, void *context);
     /** Cancels a call: notifies the searcher; the callback is not called. */
     void (*cancel)(ts_searcher_call_t *call);
--- a/include/tealspar/upstream.h
+++ b/include/tealspar/upstream.h
@@ -23,7 +23,7 @@
 /** How an exchange ended. */
 typedef struct ts_exchange_result {
     ts_error_t error;                /**< TS_OK: `answer` is complete, with any status code */
-    ts_run_t run;                    /**< whether the instance ran the request */
+    ts_execution_t run;              /**< whether the instance ran the request */
     const ts_http_message_t *answer; /**< valid during the call; NULL on an error */
     ts_time_us_t span_us;            /**< time since the request was sent; 0: it was not sent */
     bool has_invalid_times;          /**< `span_us` includes a stall of this process */
--- a/src/broker/broker_internal.h
+++ b/src/broker/broker_internal.h
@@ -14,8 +14,8 @@
     ts_broker_t *broker;
     ts_owned_backend_t *owned; /**< NULL: the backend is not owned here */
     uint64_t peer;             /**< node that sent it and gets the reply; TS_PEER_SELF: this one */
-    ts_part_t part;
-    ts_work_t *work;
+    ts_subrequest_t part;
+    ts_query_params_t *work;
     ts_searcher_call_t *call; /**< NULL while waiting */
     ts_time_us_t received_us;
     ts_time_us_t started_us; /**< when it was sent to the searcher */
--- a/src/front/front_internal.h
+++ b/src/front/front_internal.h
@@ -29,7 +29,8 @@
     GHashTable *kinds;    /**< kind -> ts_kind_stats_t, owned */
     GHashTable *attempts; /**< &counter -> ts_attempt_t, owned */
     GHashTable *queries;  /**< set of ts_query_t, owned */
-    /** Next ts_part_t.counter: hash of node name and incarnation in the high half, then a count. */
+    /** Next ts_subrequest_t.counter: hash of node name and incarnation in the high half, then a
+     * count. */
     uint64_t next_counter;
     uint64_t random_state;
     ts_timer_t silence_timer;   /**< checks for silent peers */
@@ -41,7 +42,7 @@
 struct ts_query {
     ts_front_t *front;
     ts_query_request_t request;
-    ts_work_t *work; /**< sent with all subrequests; built from request and selector */
+    ts_query_params_t *work; /**< sent with all subrequests; built from request and selector */
     ts_declarations_t *declarations; /**< referenced until the query ends */
     const ts_selector_t *selector;
     ts_kind_stats_t *stats;
@@ -80,8 +81,8 @@
 void ts_query_abandon(ts_query_t *query);
 
 /**
- * The attempts that a query sends in one step, batched into one message per owner. A ts_part_t is
- * the entry of an attempt in that message.
+ * The attempts that a query sends in one step, batched into one message per owner. A
+ * ts_subrequest_t is the entry of an attempt in that message.
  */
 typedef struct ts_dispatch ts_dispatch_t;
 ts_dispatch_t *ts_dispatch_begin(ts_query_t *query);
--- a/src/front/query.c
+++ b/src/front/query.c
@@ -27,7 +27,7 @@
     }
     g_free(query->fragments);
     ts_query_request_clear(&query->request);
-    ts_work_unref(query->work);
+    ts_query_params_unref(query->work);
     ts_declarations_unref(query->declarations);
     g_free(query);
 }
@@ -441,9 +441,10 @@
 {
     fragment->error = subreply->error;
     fragment->retry_after_ms = MAX(fragment->retry_after_ms, subreply->retry_after_ms);
-    /* TS_RUN_NOT_HERE does not count: this owner has not executed it. An earlier owner may have
-       executed an earlier send of a repeat; see is_checked_by_owner(). */
-    fragment->may_have_run |= subreply->run == TS_RUN_DONE || subreply->run == TS_RUN_MAYBE;
+    /* TS_EXECUTION_NOT_HERE does not count: this owner has not executed it. An earlier owner may
+       have executed an earlier send of a repeat; see is_checked_by_owner(). */
+    fragment->may_have_run |=
+        subreply->run == TS_EXECUTION_COMPLETED || subreply->run == TS_EXECUTION_POSSIBLE;
     if (fragment->attempts_in_flight > 0) {
         return; /* another attempt is in flight */
     }
--- a/src/upstream/upstream.c
+++ b/src/upstream/upstream.c
@@ -139,7 +139,7 @@
     result->has_invalid_times = exchange->has_invalid_times;
     if (result->answer != NULL)
         update_reported_load(exchange, result->answer, now_us);
-    if (result->error == TS_OK && result->run == TS_RUN_DONE) {
+    if (result->error == TS_OK && result->run == TS_EXECUTION_COMPLETED) {
         bool is_failure = result->answer->parser.status_code >= STATUS_SERVER_ERROR;
         ts_instance_note_result(exchange->instance, is_failure, now_us);
         /* A typical time of 0 leaves the latency statistics and the limit unchanged. */
@@ -194,7 +194,7 @@
     ts_connection_t *connection = exchange->connection;
     if (exchange->sent_us != 0)
         ts_instance_note_result(exchange->instance, true, ts_clock_now_us());
-    ts_run_t run = exchange->sent_us == 0 ? TS_RUN_NOT : TS_RUN_MAYBE;
+    ts_execution_t run = exchange->sent_us == 0 ? TS_EXECUTION_NONE : TS_EXECUTION_POSSIBLE;
     ts_exchange_result_t result = {.error = error, .run = run};
     ts_count(TS_COUNTER_SEND_FAILURES, 1);
     ts_count_error(error);
@@ -517,12 +517,14 @@
 }
 
 /* Whether the instance ran the request, according to the response. */
-static ts_run_t get_execution_state(const ts_upstream_t *upstream, const ts_http_message_t *answer)
+static ts_execution_t get_execution_state(const ts_upstream_t *upstream,
+                                          const ts_http_message_t *answer)
 {
     bool is_not_executed =
         ts_http_message_find(answer, upstream->dialect->headers.not_executed) != NULL;
-    return is_not_executed || answer->parser.status_code == STATUS_MISDIRECTED ? TS_RUN_NOT
-                                                                               : TS_RUN_DONE;
+    return is_not_executed || answer->parser.status_code == STATUS_MISDIRECTED
+               ? TS_EXECUTION_NONE
+               : TS_EXECUTION_COMPLETED;
 }
 
 /* Whether the response belongs to this request; a faulty backend may send that of another one. */
