--- a/include/tealspar/counters.h
+++ b/include/tealspar/counters.h
@@ -113,7 +113,7 @@
       "backends that terminated during an isolated send")                                          \
     X(QUARANTINE_HELD, counter, "quarantine_held_total", "requests put into quarantine")           \
     X(QUARANTINE_CLEARED, counter, "quarantine_cleared_total",                                     \
-      "suspected requests that completed in a trial")                                              \
+      "suspected requests that completed later")                                                   \
     X(QUARANTINE_REFUSED, counter, "quarantine_refused_total",                                     \
       "attempts refused because their request is quarantined")                                     \
     X(QUARANTINE_ENTRIES, gauge, "quarantine_entries", "requests in quarantine")                   \
@@ -124,7 +124,7 @@
     X(CONNECTS, counter, "connects_total", "connections opened to backends")                       \
     X(CONNECTS_FAILED, counter, "connects_failed_total", "failed connection attempts to backends") \
     X(INSTANCES_SUSPECTED, counter, "instances_suspected_total",                                   \
-      "times a backend was suspected because of an overdue response")                              \
+      "times a backend was suspected because a send was overdue")                                  \
     X(EVIDENCE_WITHHELD, counter, "evidence_withheld_total",                                       \
       "times evidence about backends was not shared because most looked bad at once")              \
     X(EVIDENCE_STALE, counter, "evidence_stale_total",                                             \
@@ -162,7 +162,7 @@
       "time since the configuration service confirmed the state of this node")                     \
     X(INSTANCES_LISTED, gauge, "instances_listed", "backends listed by discovery")                 \
     X(LOG_LINES_DROPPED, counter, "log_lines_dropped_total",                                       \
-      "log lines dropped because the buffer was full")                                             \
+      "log lines not written: sampled out, or the buffer was full")                                \
     X(LOG_LINES, counter, "log_lines_total", "log lines written")
 
 /* X(symbol, name, description); recorded in microseconds. */
--- a/include/tealspar/idempotency.h
+++ b/include/tealspar/idempotency.h
@@ -21,8 +21,8 @@
 ts_idempotency_t *ts_idempotency_create(ts_time_us_t keep_us);
 void ts_idempotency_destroy(ts_idempotency_t *table);
 /** Decides on a request and, for RUN, marks its id as dispatched. */
-ts_idempotency_verdict_t ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
-                                              ts_time_us_t now_us);
+ts_idempotency_verdict_t ts_idempotency_admit(ts_idempotency_t *table,
+                                              const ts_query_params_t *work, ts_time_us_t now_us);
 /** The dispatch came to nothing and was certainly not run: the id may be dispatched again. */
 void ts_idempotency_release(ts_idempotency_t *table, const char *request_id);
 /** Keeps the outcome of a dispatch; a copy is made. */
--- a/include/tealspar/messages.h
+++ b/include/tealspar/messages.h
@@ -1,6 +1,9 @@
 /**
  * The typed messages exchanged by tasks, and their payload structs. Each message type has one
- * constructor. The kernel destroys a message after the receiver has handled it.
+ * constructor. The kernel destroys a message after its handler, unless the handler set
+ * `is_retained`. Subrequests, subreplies and cancellations go to the local broker or front, where
+ * `peer` is the sender, or to the mesh, where `peer` is the destination. The platform is the
+ * service that lists machines and provides the configuration.
  */
 #ifndef TEALSPAR_MESSAGES_H
 #define TEALSPAR_MESSAGES_H
@@ -15,16 +18,19 @@
 #include "tealspar/task.h"
 #include "tealspar/view.h"
 
-/** Whether a subrequest was executed; determines what a refusal may guarantee. */
-typedef enum ts_run {
-    TS_RUN_NOT,     /**< not executed */
-    TS_RUN_DONE,    /**< executed to completion */
-    TS_RUN_MAYBE,   /**< may have been executed, or may still be */
-    TS_RUN_NOT_HERE /**< not executed by this owner; a previous owner may have executed it */
-} ts_run_t;
+/**
+ * Whether a request or subrequest was executed; determines what a refusal may guarantee. The values
+ * are sent on the wire.
+ */
+typedef enum ts_execution {
+    TS_EXECUTION_NONE,      /**< not executed */
+    TS_EXECUTION_COMPLETED, /**< completed */
+    TS_EXECUTION_POSSIBLE,  /**< may have been executed, or may still be */
+    TS_EXECUTION_NOT_HERE   /**< not by this owner, which cannot tell about previous owners */
+} ts_execution_t;
 
 /** Parameters of a query, shared by all its subrequests. Immutable, reference-counted. */
-typedef struct ts_work {
+typedef struct ts_query_params {
     int references;
     char *request_id;
     char *kind;
@@ -36,18 +42,18 @@
     uint32_t priority;
     uint32_t slot_share_percent;
     ts_time_us_t deadline_us; /**< by the clock of this process */
-} ts_work_t;
+} ts_query_params_t;
 
-ts_work_t *ts_work_ref(ts_work_t *work);
-void ts_work_unref(ts_work_t *work);
+ts_query_params_t *ts_query_params_ref(ts_query_params_t *work);
+void ts_query_params_unref(ts_query_params_t *work);
 
-/** A subrequest for one shard to one backend. */
-typedef struct ts_part {
+/** A subrequest: a query to one shard at one backend. */
+typedef struct ts_subrequest {
     uint64_t counter; /**< subrequest id: incarnation hash (high half) and sequence number */
     uint64_t backend; /**< ts_backend_t.id */
     uint64_t shard;   /**< ts_shard_t.id */
-    uint64_t wanted_snapshot; /**< preferred index version; 0: any */
-} ts_part_t;
+    uint64_t wanted_snapshot; /**< preferred snapshot (index version); 0: any */
+} ts_subrequest_t;
 
 typedef struct ts_hit {
     char *id;
@@ -55,16 +61,16 @@
     char *text;
 } ts_hit_t;
 
-/** Result of one part. */
+/** Result of one subrequest. */
 typedef struct ts_subreply {
     uint64_t counter;
     ts_error_t error;
-    ts_run_t run;
-    uint64_t snapshot; /**< index version that answered */
+    ts_execution_t run;
+    uint64_t snapshot; /**< index version that was searched */
     uint64_t total;    /**< all hits in the shard, including those beyond the limit */
     ts_hit_t *hits;
     size_t hits_count;
-    uint32_t service_us;   /**< processing time at the searcher */
+    uint32_t service_us;   /**< time at the searcher including the network, measured by the owner */
     uint32_t queue_us;     /**< time spent waiting for a slot */
     uint32_t slots_in_use; /**< at the owner, at the time of the reply */
     uint32_t queue_length; /**< at the owner, at the time of the reply */
@@ -77,20 +83,20 @@
 /** Id of the local node in `peer` fields. */
 #define TS_PEER_SELF 0ULL
 
-/** Parts of one query: sent to the local broker, or to the mesh for delivery to `peer`. */
+/** Subrequests of one query, for a broker. */
 typedef struct ts_subrequests_message {
     ts_message_t head;
-    uint64_t peer; /**< destination (mesh) or sender (broker) */
-    ts_work_t *work;
+    uint64_t peer;
+    ts_query_params_t *work;
     size_t parts_count;
-    ts_part_t parts[];
+    ts_subrequest_t parts[];
 } ts_subrequests_message_t;
 
-/** Creates a message with space for `parts_count` parts; takes a reference to `work`. */
-ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_work_t *work,
+/** Creates a message with space for `parts_count` subrequests; takes a reference to `work`. */
+ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_query_params_t *work,
                                                  size_t parts_count);
 
-/** One subreply: sent to the local front, or to the mesh for delivery to `peer`. */
+/** A subreply, for a front. */
 typedef struct ts_subreply_message {
     ts_message_t head;
     uint64_t peer;
@@ -99,7 +105,7 @@
 
 ts_subreply_message_t *ts_subreply_message(uint64_t peer);
 
-/** Cancels a part. */
+/** Request to a broker to cancel a subrequest; ignored if that has ended. */
 typedef struct ts_cancel_message {
     ts_message_t head;
     uint64_t peer;
@@ -112,7 +118,7 @@
 typedef struct ts_gossip_message {
     ts_message_t head;
     char *peer_name;
-    char *peer_address; /**< of the peer, for other nodes */
+    char *peer_address; /**< address of the peer for connections between nodes */
     uint8_t *bytes;
     size_t length;
 } ts_gossip_message_t;
@@ -121,18 +127,18 @@
                                        const uint8_t *bytes, size_t length);
 
 /** The connection to a peer was closed. */
-typedef struct ts_peer_message {
+typedef struct ts_peer_lost_message {
     ts_message_t head;
     uint64_t peer;
     char *name;
-} ts_peer_message_t;
+} ts_peer_lost_message_t;
 
-ts_peer_message_t *ts_peer_message(uint64_t peer, const char *name);
+ts_peer_lost_message_t *ts_peer_lost_message(uint64_t peer, const char *name);
 
 /** One machine of the platform's list. */
 typedef struct ts_machine {
     char *name;
-    char *address; /**< for other nodes */
+    char *address; /**< for connections between nodes */
     char *zone;
     bool leaving;
 } ts_machine_t;
@@ -149,8 +155,9 @@
                              const char *zone, bool leaving);
 
 /**
- * A configuration document from the platform or from a peer, an announcement of one, or a peer's
- * request for it.
+ * One of three messages about the configuration document: an announcement has `version` and
+ * `digest`, a request of a peer has only `wanted`, and a document, from the platform or a peer, has
+ * `version`, `text` and `length`.
  */
 typedef struct ts_document_message {
     ts_message_t head;
@@ -158,14 +165,14 @@
     char *peer_address;
     bool wanted; /**< the peer requests the document */
     uint64_t version;
-    uint64_t digest; /**< an announcement has `version` and `digest` but no text */
-    char *text;      /**< NULL unless the message contains the document */
+    uint64_t digest; /**< of an announcement */
+    char *text;      /**< NULL unless this is a document */
     size_t length;
 } ts_document_message_t;
 
 ts_document_message_t *ts_document_message(const char *peer_name, const char *peer_address);
 
-/** A configuration has been applied. */
+/** The configuration that is now in effect, for the tasks to switch to. */
 typedef struct ts_declarations_message {
     ts_message_t head;
     ts_declarations_t *declarations;
--- a/include/tealspar/searcher_client.h
+++ b/include/tealspar/searcher_client.h
@@ -30,8 +30,8 @@
     /** Closes it; calls in flight end first. */
     void (*close)(ts_searcher_t *searcher);
     /** Asks for one shard. `left_us` is the time until the deadline. */
-    ts_searcher_call_t *(*search)(ts_searcher_t *searcher, const ts_work_t *work, const char *shard,
-                                  uint64_t wanted_snapshot, ts_time_us_t left_us,
+    ts_searcher_call_t *(*search)(ts_searcher_t *searcher, const ts_query_params_t *work,
+                                  const char *shard, uint64_t wanted_snapshot, ts_time_us_t left_us,
                                   ts_searcher_done_t done, void *context);
     /** Cancels a call: the searcher is told, the callback does not run. */
     void (*cancel)(ts_searcher_call_t *call);
--- a/include/tealspar/task.h
+++ b/include/tealspar/task.h
@@ -16,7 +16,7 @@
     TS_MESSAGE_SUBREPLIES,   /**< ts_subreply_message_t: to the front */
     TS_MESSAGE_CANCEL,       /**< ts_cancel_message_t: to the broker */
     TS_MESSAGE_GOSSIP,       /**< ts_gossip_message_t: to membership */
-    TS_MESSAGE_PEER_LOST,    /**< ts_peer_message_t: the connection to a peer was closed */
+    TS_MESSAGE_PEER_LOST,    /**< ts_peer_lost_message_t: the connection to a peer was closed */
     TS_MESSAGE_MACHINES,     /**< ts_machines_message_t: the platform's list of machines */
     TS_MESSAGE_DOCUMENT,     /**< ts_document_message_t: a candidate configuration */
     TS_MESSAGE_DECLARATIONS, /**< ts_declarations_message_t: the configuration now in effect */
--- a/include/tealspar/traffic.h
+++ b/include/tealspar/traffic.h
@@ -36,7 +36,7 @@
     bool is_auth_exempt;   /**< needs no key, even if there are tenants */
     bool is_repeatable;    /**< a request may be executed more than once */
     uint32_t attempts_max; /**< per request (per part if gathered), including the first */
-    uint32_t timeout_ms;   /**< from the arrival of a request to its response */
+    uint32_t timeout_ms;   /**< maximum time from the arrival to the response */
     uint32_t aim_ms;       /**< target latency; 0: none */
     uint32_t priority;     /**< 0 is the highest */
     uint32_t top_count;    /**< gather: maximum records in a response */
--- a/include/tealspar/upstream.h
+++ b/include/tealspar/upstream.h
@@ -23,7 +23,7 @@
 /** How an exchange ended. */
 typedef struct ts_exchange_result {
     ts_error_t error;                /**< TS_OK: `answer` is whole, whatever its status */
-    ts_run_t run;                    /**< whether the instance ran the request */
+    ts_execution_t run;              /**< whether the instance ran the request */
     const ts_http_message_t *answer; /**< valid during the call; NULL on an error */
     ts_time_us_t span_us;            /**< from the sending to the end */
     bool is_untimed;                 /**< this process stood still meanwhile */
--- a/lab/planted/planted.c
+++ b/lab/planted/planted.c
@@ -22,9 +22,11 @@
 }
 
 /* "idempotency": an id that was dispatched is dispatched again. */
-ts_idempotency_verdict_t __real_ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
+ts_idempotency_verdict_t __real_ts_idempotency_admit(ts_idempotency_t *table,
+                                                     const ts_query_params_t *work,
                                                      ts_time_us_t now_us);
-ts_idempotency_verdict_t __wrap_ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
+ts_idempotency_verdict_t __wrap_ts_idempotency_admit(ts_idempotency_t *table,
+                                                     const ts_query_params_t *work,
                                                      ts_time_us_t now_us)
 {
     ts_idempotency_verdict_t verdict = __real_ts_idempotency_admit(table, work, now_us);
@@ -84,7 +86,7 @@
                                ts_time_us_t now_us)
 {
     if (is_planted("refusal") && subreply->error != TS_OK) {
-        ((ts_subreply_t *)subreply)->run = TS_RUN_NOT;
+        ((ts_subreply_t *)subreply)->run = TS_EXECUTION_NONE;
     }
     __real_ts_directory_learn(directory, replica, subreply, latency_us, now_us);
 }
--- a/lab/sim_mesh.c
+++ b/lab/sim_mesh.c
@@ -229,9 +229,9 @@
     const lab_sim_node_t *to = &notice->sim->nodes[notice->to];
     const lab_sim_node_t *lost = lab_sim_find_node(notice->sim, notice->lost);
     ts_task_send(ts_task_find(to->node.tasks, "front"),
-                 &ts_peer_message(notice->lost, lost->settings.name)->head);
+                 &ts_peer_lost_message(notice->lost, lost->settings.name)->head);
     ts_task_send(ts_task_find(to->node.tasks, "membership"),
-                 &ts_peer_message(notice->lost, lost->settings.name)->head);
+                 &ts_peer_lost_message(notice->lost, lost->settings.name)->head);
     g_free(notice);
 }
 
--- a/lab/sim_world.c
+++ b/lab/sim_world.c
@@ -34,7 +34,7 @@
     void *context;
     call_state_t state;
     bool is_cancelled;
-    ts_work_t *work;
+    ts_query_params_t *work;
     char *shard;
     uint64_t wanted_snapshot;
     ts_time_us_t sent_us;
@@ -51,7 +51,7 @@
 
 static void free_call(ts_searcher_call_t *call)
 {
-    ts_work_unref(call->work);
+    ts_query_params_unref(call->work);
     g_free(call->shard);
     g_free(call);
 }
@@ -88,7 +88,7 @@
 
 static void refuse(ts_searcher_call_t *call, ts_error_t error)
 {
-    ts_subreply_t subreply = {.error = error, .run = TS_RUN_NOT};
+    ts_subreply_t subreply = {.error = error, .run = TS_EXECUTION_NONE};
     answer(call, &subreply);
 }
 
@@ -144,13 +144,13 @@
     if (call->is_cancelled) {
         free_call(call);
     } else if (searcher->state == LAB_SIM_DEAD) {
-        ts_subreply_t lost = {.error = TS_E_IO, .run = TS_RUN_MAYBE};
+        ts_subreply_t lost = {.error = TS_E_IO, .run = TS_EXECUTION_POSSIBLE};
         answer(call, &lost);
     } else {
         bool has_previous = searcher->previous_snapshot != 0 &&
                             call->wanted_snapshot == searcher->previous_snapshot;
         uint64_t snapshot = has_previous ? searcher->previous_snapshot : searcher->snapshot;
-        ts_subreply_t subreply = {.run = TS_RUN_DONE, .snapshot = snapshot};
+        ts_subreply_t subreply = {.run = TS_EXECUTION_COMPLETED, .snapshot = snapshot};
         fill_hits(call, snapshot, &subreply);
         answer(call, &subreply);
     }
@@ -273,8 +273,8 @@
     g_free(searcher);
 }
 
-static ts_searcher_call_t *search(ts_searcher_t *searcher, const ts_work_t *work, const char *shard,
-                                  uint64_t wanted_snapshot, ts_time_us_t left_us,
+static ts_searcher_call_t *search(ts_searcher_t *searcher, const ts_query_params_t *work,
+                                  const char *shard, uint64_t wanted_snapshot, ts_time_us_t left_us,
                                   ts_searcher_done_t done, void *context)
 {
     ts_searcher_call_t *call = g_new0(ts_searcher_call_t, 1);
@@ -282,7 +282,7 @@
     call->searcher = searcher->searcher;
     call->done = done;
     call->context = context;
-    call->work = ts_work_ref((ts_work_t *)work);
+    call->work = ts_query_params_ref((ts_query_params_t *)work);
     call->shard = g_strdup(shard);
     call->wanted_snapshot = wanted_snapshot;
     call->sent_us = searcher->node->sim->now_us;
--- a/src/broker/broker.c
+++ b/src/broker/broker.c
@@ -38,7 +38,7 @@
 
 static void free_job(ts_job_t *job)
 {
-    ts_work_unref(job->work);
+    ts_query_params_unref(job->work);
     g_hash_table_remove(job->broker->jobs, &job->part.counter);
 }
 
@@ -48,9 +48,9 @@
     if (!job->work->unrepeatable) {
         return;
     }
-    if (subreply->run == TS_RUN_NOT) {
+    if (subreply->run == TS_EXECUTION_NONE) {
         ts_idempotency_release(job->broker->idempotency, job->work->request_id);
-    } else if (subreply->run == TS_RUN_DONE) {
+    } else if (subreply->run == TS_EXECUTION_COMPLETED) {
         ts_idempotency_finish(job->broker->idempotency, job->work->request_id, subreply,
                               ts_clock_now_us());
     }
@@ -78,7 +78,7 @@
 
 void ts_job_refuse(ts_job_t *job, ts_error_t error)
 {
-    ts_subreply_t subreply = {.error = error, .run = TS_RUN_NOT};
+    ts_subreply_t subreply = {.error = error, .run = TS_EXECUTION_NONE};
     ts_count(TS_COUNTER_BROKER_REFUSED, 1);
     ts_count_error(error);
     ts_job_reply(job, &subreply);
@@ -93,7 +93,7 @@
 
 static void refuse_undispatched(ts_job_t *job, ts_error_t error)
 {
-    ts_subreply_t subreply = {.error = error, .run = TS_RUN_NOT};
+    ts_subreply_t subreply = {.error = error, .run = TS_EXECUTION_NONE};
     ts_count(TS_COUNTER_BROKER_REFUSED, 1);
     ts_count_error(error);
     answer_undispatched(job, &subreply);
@@ -101,7 +101,7 @@
 
 static void answer_unknown(ts_job_t *job, ts_error_t error)
 {
-    ts_subreply_t subreply = {.error = error, .run = TS_RUN_MAYBE};
+    ts_subreply_t subreply = {.error = error, .run = TS_EXECUTION_POSSIBLE};
     ts_count_error(error);
     answer_undispatched(job, &subreply);
 }
@@ -114,7 +114,7 @@
 {
     int64_t wait_ms = since_ms + OWNER_FENCE_MS + CLOCK_SKEW_MS - ts_clock_wall_ms();
     ts_subreply_t subreply = {
-        .error = error, .run = TS_RUN_NOT_HERE, .retry_after_ms = (uint32_t)MAX(wait_ms, 0)};
+        .error = error, .run = TS_EXECUTION_NOT_HERE, .retry_after_ms = (uint32_t)MAX(wait_ms, 0)};
     ts_count_error(error);
     answer_undispatched(job, &subreply);
 }
@@ -187,13 +187,13 @@
 /* ---- subrequests ---- */
 
 static ts_job_t *create_job(ts_broker_t *broker, const ts_subrequests_message_t *message,
-                            const ts_part_t *part)
+                            const ts_subrequest_t *part)
 {
     ts_job_t *job = g_new0(ts_job_t, 1);
     job->broker = broker;
     job->peer = message->peer;
     job->part = *part;
-    job->work = ts_work_ref(message->work);
+    job->work = ts_query_params_ref(message->work);
     job->taken_us = ts_clock_now_us();
     g_hash_table_insert(broker->jobs, &job->part.counter, job);
     set_tick(broker, TICK_MS);
@@ -201,7 +201,7 @@
 }
 
 static void submit_part(ts_broker_t *broker, const ts_subrequests_message_t *message,
-                        const ts_part_t *part)
+                        const ts_subrequest_t *part)
 {
     if (g_hash_table_contains(broker->jobs, &part->counter)) {
         return; /* a doubled message */
@@ -519,7 +519,7 @@
     if (job->call != NULL) {
         job->broker->client->cancel(job->call);
     }
-    ts_work_unref(job->work);
+    ts_query_params_unref(job->work);
 }
 
 static void close_broker(ts_node_t *node)
--- a/src/broker/broker_internal.h
+++ b/src/broker/broker_internal.h
@@ -14,8 +14,8 @@
     ts_broker_t *broker;
     ts_owned_t *owned;
     uint64_t peer; /**< whom to answer */
-    ts_part_t part;
-    ts_work_t *work;
+    ts_subrequest_t part;
+    ts_query_params_t *work;
     ts_searcher_call_t *call; /**< set while running */
     ts_time_us_t taken_us;
     ts_time_us_t started_us;
--- a/src/broker/idempotency.c
+++ b/src/broker/idempotency.c
@@ -38,15 +38,15 @@
     g_free(table);
 }
 
-static uint64_t digest_work(const ts_work_t *work)
+static uint64_t digest_work(const ts_query_params_t *work)
 {
     uint64_t digest = ts_hash_text(work->kind);
     digest = ts_hash_mix(digest, ts_hash_text(work->key == NULL ? "" : work->key));
     return ts_hash_mix(digest, ts_hash_text(work->text == NULL ? "" : work->text));
 }
 
-ts_idempotency_verdict_t ts_idempotency_admit(ts_idempotency_t *table, const ts_work_t *work,
-                                              ts_time_us_t now_us)
+ts_idempotency_verdict_t ts_idempotency_admit(ts_idempotency_t *table,
+                                              const ts_query_params_t *work, ts_time_us_t now_us)
 {
     entry_t *entry = g_hash_table_lookup(table->entries, work->request_id);
     uint64_t digest = digest_work(work);
--- a/src/broker/owned.c
+++ b/src/broker/owned.c
@@ -323,7 +323,7 @@
     if (is_unrepeatable) {
         ts_idempotency_release(owned->broker->idempotency, job->work->request_id);
     }
-    ts_work_unref(job->work);
+    ts_query_params_unref(job->work);
     g_hash_table_remove(owned->broker->jobs, &job->part.counter);
     run_next(owned);
 }
@@ -344,7 +344,7 @@
         if (time_left(job, now_us) > 0) {
             continue;
         }
-        ts_subreply_t subreply = {.error = TS_E_DEADLINE, .run = TS_RUN_MAYBE};
+        ts_subreply_t subreply = {.error = TS_E_DEADLINE, .run = TS_EXECUTION_POSSIBLE};
         subreply.service_us = (uint32_t)(now_us - job->started_us);
         withdraw(job);
         ts_job_reply(job, &subreply);
--- a/src/broker/searcher_http.c
+++ b/src/broker/searcher_http.c
@@ -82,7 +82,7 @@
     bool is_good = json_is_integer(snapshot) && json_integer_value(snapshot) > 0 &&
                    json_is_integer(total) && json_integer_value(total) >= 0 &&
                    read_hits(json_object_get(root, "hits"), subreply);
-    subreply->run = TS_RUN_DONE;
+    subreply->run = TS_EXECUTION_COMPLETED;
     if (is_good) {
         subreply->snapshot = (uint64_t)json_integer_value(snapshot);
         subreply->total = (uint64_t)json_integer_value(total);
@@ -109,7 +109,7 @@
 {
     if (result->error != TS_OK) {
         subreply->error = result->error;
-        subreply->run = result->error == TS_E_CONNECT ? TS_RUN_NOT : TS_RUN_MAYBE;
+        subreply->run = result->error == TS_E_CONNECT ? TS_EXECUTION_NONE : TS_EXECUTION_POSSIBLE;
         return;
     }
     switch (result->status) {
@@ -118,19 +118,19 @@
         break;
     case HTTP_NOT_FOUND:
         subreply->error = TS_E_WRONG_SHARD;
-        subreply->run = TS_RUN_NOT;
+        subreply->run = TS_EXECUTION_NONE;
         break;
     case HTTP_UNAVAILABLE:
         subreply->error = read_unavailable(result, subreply);
-        subreply->run = TS_RUN_NOT;
+        subreply->run = TS_EXECUTION_NONE;
         break;
     case HTTP_DEADLINE:
         subreply->error = TS_E_DEADLINE;
-        subreply->run = TS_RUN_MAYBE;
+        subreply->run = TS_EXECUTION_POSSIBLE;
         break;
     default:
         subreply->error = TS_E_BAD_ANSWER;
-        subreply->run = TS_RUN_MAYBE;
+        subreply->run = TS_EXECUTION_POSSIBLE;
     }
 }
 
@@ -144,8 +144,8 @@
     g_free(call);
 }
 
-static char *write_request(const ts_work_t *work, const char *shard, uint64_t wanted_snapshot,
-                           ts_time_us_t left_us)
+static char *write_request(const ts_query_params_t *work, const char *shard,
+                           uint64_t wanted_snapshot, ts_time_us_t left_us)
 {
     json_t *root =
         json_pack("{s:s, s:s, s:s, s:i, s:I, s:b}", "id", work->request_id, "kind", work->kind,
@@ -165,8 +165,8 @@
     return text;
 }
 
-static ts_searcher_call_t *search(ts_searcher_t *searcher, const ts_work_t *work, const char *shard,
-                                  uint64_t wanted_snapshot, ts_time_us_t left_us,
+static ts_searcher_call_t *search(ts_searcher_t *searcher, const ts_query_params_t *work,
+                                  const char *shard, uint64_t wanted_snapshot, ts_time_us_t left_us,
                                   ts_searcher_done_t done, void *context)
 {
     ts_searcher_call_t *call = g_new0(ts_searcher_call_t, 1);
--- a/src/control/membership_task.c
+++ b/src/control/membership_task.c
@@ -111,7 +111,7 @@
         break;
     }
     case TS_MESSAGE_PEER_LOST:
-        ts_membership_handle_peer_lost(task->membership, ((ts_peer_message_t *)message)->name,
+        ts_membership_handle_peer_lost(task->membership, ((ts_peer_lost_message_t *)message)->name,
                                        now_us);
         break;
     case TS_MESSAGE_MACHINES:
--- a/src/control/mesh.c
+++ b/src/control/mesh.c
@@ -178,8 +178,8 @@
         const peer_t *peer = value;
         if (strcmp(peer->address, address) != 0)
             continue;
-        ts_task_send(mesh.front, &ts_peer_message(peer->id, peer->name)->head);
-        ts_task_send(mesh.membership, &ts_peer_message(peer->id, peer->name)->head);
+        ts_task_send(mesh.front, &ts_peer_lost_message(peer->id, peer->name)->head);
+        ts_task_send(mesh.membership, &ts_peer_lost_message(peer->id, peer->name)->head);
     }
 }
 
--- a/src/edge/part_answer.c
+++ b/src/edge/part_answer.c
@@ -54,14 +54,14 @@
 /* Handles the failure of a send that left this node: retries it or accepts the error answer. */
 static void handle_failure(ts_request_part_t *part, const ts_exchange_result_t *result)
 {
-    if (result->run == TS_RUN_NOT) {
+    if (result->run == TS_EXECUTION_NONE) {
         part->attempts--;
         part->was_refused = true;
     } else {
         part->may_have_run = true;
     }
     bool is_gather = part->request->route->kind == TS_TARGET_GATHER;
-    bool has_run = result->answer != NULL && result->run == TS_RUN_DONE;
+    bool has_run = result->answer != NULL && result->run == TS_EXECUTION_COMPLETED;
     if (has_run && result->answer->parser.status_code < STATUS_SERVER_ERROR)
         ts_request_record_success(part->request, part->service);
     if (has_run && !is_gather) {
@@ -112,7 +112,7 @@
     if (result->error != TS_OK) {
         return ts_error_name(result->error);
     }
-    if (result->run == TS_RUN_NOT) {
+    if (result->run == TS_EXECUTION_NONE) {
         return status == STATUS_MISDIRECTED ? "misdirected" : "not_executed";
     }
     return "searcher_failed";
@@ -137,7 +137,7 @@
     if (status == STATUS_MISDIRECTED) {
         ts_instance_note_failure(instance, ts_clock_now_us());
     }
-    if (result->run == TS_RUN_DONE && status >= STATUS_SUCCESS_FIRST &&
+    if (result->run == TS_EXECUTION_COMPLETED && status >= STATUS_SUCCESS_FIRST &&
         status <= STATUS_SUCCESS_LAST) {
         handle_success(part, result, instance);
     } else if (!was_sent) {
--- a/src/front/dispatch.c
+++ b/src/front/dispatch.c
@@ -33,7 +33,7 @@
             return batch->parts;
         }
     }
-    owner_batch_t batch = {peer, g_array_new(FALSE, FALSE, sizeof(ts_part_t))};
+    owner_batch_t batch = {peer, g_array_new(FALSE, FALSE, sizeof(ts_subrequest_t))};
     g_array_append_val(dispatch->batches, batch);
     return batch.parts;
 }
@@ -76,7 +76,7 @@
     fragment->asked = peer;
     fragment->tried |= 1ULL << rank;
     fragment->state = TS_FRAGMENT_WAITING;
-    ts_part_t part = {
+    ts_subrequest_t part = {
         .counter = attempt->counter,
         .backend = backend->id,
         .shard = query->declarations->shards[fragment->shard].id,
@@ -91,7 +91,7 @@
     ts_front_t *front = dispatch->query->front;
     ts_subrequests_message_t *message =
         ts_subrequests_message(batch->peer, dispatch->query->work, batch->parts->len);
-    memcpy(message->parts, batch->parts->data, batch->parts->len * sizeof(ts_part_t));
+    memcpy(message->parts, batch->parts->data, batch->parts->len * sizeof(ts_subrequest_t));
     bool is_local = batch->peer == TS_PEER_SELF;
     ts_count(TS_COUNTER_SUBREQUESTS, batch->parts->len);
     ts_count(TS_COUNTER_SUBREQUESTS_LOCAL, is_local ? batch->parts->len : 0);
--- a/src/front/front.c
+++ b/src/front/front.c
@@ -67,10 +67,10 @@
     g_free(request->key);
 }
 
-static ts_work_t *create_work(const ts_query_t *query)
+static ts_query_params_t *create_work(const ts_query_t *query)
 {
     const ts_query_request_t *request = &query->request;
-    ts_work_t *work = g_new0(ts_work_t, 1);
+    ts_query_params_t *work = g_new0(ts_query_params_t, 1);
     work->references = 1;
     work->request_id = g_strdup(request->id);
     work->kind = g_strdup(request->kind);
@@ -216,7 +216,7 @@
         uint64_t counter = g_array_index(lost, uint64_t, i);
         ts_attempt_t *attempt = g_hash_table_lookup(front->attempts, &counter);
         if (attempt != NULL) {
-            ts_subreply_t subreply = {.error = TS_E_PEER_LOST, .run = TS_RUN_MAYBE};
+            ts_subreply_t subreply = {.error = TS_E_PEER_LOST, .run = TS_EXECUTION_POSSIBLE};
             ts_front_send_cancel(front, peer, counter);
             ts_query_take(attempt, &subreply);
         }
@@ -289,7 +289,7 @@
         take_subreply(front, &((ts_subreply_message_t *)message)->subreply);
         break;
     case TS_MESSAGE_PEER_LOST:
-        fail_attempts_at(front, ((ts_peer_message_t *)message)->peer, true);
+        fail_attempts_at(front, ((ts_peer_lost_message_t *)message)->peer, true);
         break;
     case TS_MESSAGE_DECLARATIONS:
         take_declarations(front, ((ts_declarations_message_t *)message)->declarations);
--- a/src/front/front_internal.h
+++ b/src/front/front_internal.h
@@ -38,7 +38,7 @@
 struct ts_query {
     ts_front_t *front;
     ts_query_request_t request;
-    ts_work_t *work;
+    ts_query_params_t *work;
     ts_declarations_t *declarations; /**< pinned */
     const ts_selector_t *selector;
     ts_kind_stats_t *stats;
--- a/src/front/query.c
+++ b/src/front/query.c
@@ -26,7 +26,7 @@
     }
     g_free(query->fragments);
     ts_query_request_clear(&query->request);
-    ts_work_unref(query->work);
+    ts_query_params_unref(query->work);
     ts_declarations_unref(query->declarations);
     g_free(query);
 }
@@ -438,7 +438,8 @@
     fragment->error = subreply->error;
     fragment->retry_after_ms = MAX(fragment->retry_after_ms, subreply->retry_after_ms);
     // an owner that can't vouch has not run it; of a repeat that says nothing (is_vouched)
-    fragment->ran |= subreply->run == TS_RUN_DONE || subreply->run == TS_RUN_MAYBE;
+    fragment->ran |=
+        subreply->run == TS_EXECUTION_COMPLETED || subreply->run == TS_EXECUTION_POSSIBLE;
     if (fragment->attempts_out > 0) {
         return; /* another attempt is still out */
     }
--- a/src/kernel/counters.c
+++ b/src/kernel/counters.c
@@ -6,24 +6,25 @@
 
 #include "tealspar/histogram.h"
 
-#define MAX_ERROR_NUMBER 64
+/* Array size. Errors whose absolute number is not below it are not counted. */
+#define ERROR_NUMBER_END 64
 #define US_PER_S_DOUBLE 1e6
 
-typedef struct counter_row {
+typedef struct metric_row {
     const char *type;
     const char *name;
     const char *description;
-} counter_row_t;
+} metric_row_t;
 
 #define TS_COUNTER_ROW(symbol, type, name, description) {#type, name, description},
-static const counter_row_t counter_rows[] = {TS_COUNTER_TABLE(TS_COUNTER_ROW)};
+static const metric_row_t counter_rows[] = {TS_COUNTER_TABLE(TS_COUNTER_ROW)};
 #undef TS_COUNTER_ROW
 #define TS_HISTOGRAM_ROW(symbol, name, description) {"histogram", name, description},
-static const counter_row_t histogram_rows[] = {TS_HISTOGRAM_TABLE(TS_HISTOGRAM_ROW)};
+static const metric_row_t histogram_rows[] = {TS_HISTOGRAM_TABLE(TS_HISTOGRAM_ROW)};
 #undef TS_HISTOGRAM_ROW
 
 static int64_t counter_values[TS_COUNTER_COUNT];
-static int64_t error_values[MAX_ERROR_NUMBER];
+static int64_t error_values[ERROR_NUMBER_END];
 static ts_histogram_t histograms[TS_HISTOGRAM_COUNT];
 
 void ts_count(ts_counter_t counter, int64_t amount)
@@ -44,7 +45,7 @@
 void ts_count_error(ts_error_t error)
 {
     int number = abs((int)error);
-    if (number < MAX_ERROR_NUMBER) {
+    if (number < ERROR_NUMBER_END) {
         error_values[number]++;
     }
 }
@@ -52,7 +53,7 @@
 int64_t ts_error_count(ts_error_t error)
 {
     int number = abs((int)error);
-    return number < MAX_ERROR_NUMBER ? error_values[number] : 0;
+    return number < ERROR_NUMBER_END ? error_values[number] : 0;
 }
 
 void ts_observe_us(ts_histogram_id_t histogram, ts_time_us_t span_us)
@@ -60,7 +61,11 @@
     ts_histogram_add(&histograms[histogram], span_us);
 }
 
-static void write_histogram(GString *out, const counter_row_t *row, const ts_histogram_t *h)
+/*
+ * Writes one Prometheus bucket per power of two. The last bucket with a finite bound also counts
+ * all larger values.
+ */
+static void write_histogram(GString *out, const metric_row_t *row, const ts_histogram_t *h)
 {
     g_string_append_printf(out, "# HELP tealspar_%s %s\n# TYPE tealspar_%s histogram\n", row->name,
                            row->description, row->name);
@@ -91,12 +96,12 @@
 void ts_counters_write_prometheus(GString *out)
 {
     for (int i = 0; i < TS_COUNTER_COUNT; i++) {
-        const counter_row_t *row = &counter_rows[i];
+        const metric_row_t *row = &counter_rows[i];
         g_string_append_printf(out, "# HELP tealspar_%s %s\n# TYPE tealspar_%s %s\n", row->name,
                                row->description, row->name, row->type);
         g_string_append_printf(out, "tealspar_%s %" PRId64 "\n", row->name, counter_values[i]);
     }
-    g_string_append(out, "# HELP tealspar_errors_total errors and refusals by type\n"
+    g_string_append(out, "# HELP tealspar_errors_total failures and refusals by type\n"
                          "# TYPE tealspar_errors_total counter\n");
 #define TS_ERROR_LINE(symbol, number, name, text) write_error_line(out, symbol);
     TS_ERROR_TABLE(TS_ERROR_LINE)
@@ -106,7 +111,7 @@
     }
 }
 
-static void write_rows(GString *out, const counter_row_t *rows, size_t count)
+static void write_markdown_rows(GString *out, const metric_row_t *rows, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         g_string_append_printf(out, "| `tealspar_%s` | %s | %s |\n", rows[i].name, rows[i].type,
@@ -117,6 +122,6 @@
 void ts_counters_write_markdown(GString *out)
 {
     g_string_append(out, "| counter | type | meaning |\n| --- | --- | --- |\n");
-    write_rows(out, counter_rows, TS_COUNTER_COUNT);
-    write_rows(out, histogram_rows, TS_HISTOGRAM_COUNT);
+    write_markdown_rows(out, counter_rows, TS_COUNTER_COUNT);
+    write_markdown_rows(out, histogram_rows, TS_HISTOGRAM_COUNT);
 }
--- a/src/kernel/messages.c
+++ b/src/kernel/messages.c
@@ -3,13 +3,13 @@
 
 #include "tealspar/declarations.h"
 
-ts_work_t *ts_work_ref(ts_work_t *work)
+ts_query_params_t *ts_query_params_ref(ts_query_params_t *work)
 {
     work->references++;
     return work;
 }
 
-void ts_work_unref(ts_work_t *work)
+void ts_query_params_unref(ts_query_params_t *work)
 {
     if (work == NULL || --work->references > 0) {
         return;
@@ -34,18 +34,19 @@
 
 static void destroy_subrequests(ts_message_t *message)
 {
-    ts_work_unref(((ts_subrequests_message_t *)message)->work);
+    ts_query_params_unref(((ts_subrequests_message_t *)message)->work);
     g_free(message);
 }
 
-ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_work_t *work, size_t parts_count)
+ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_query_params_t *work,
+                                                 size_t parts_count)
 {
     ts_subrequests_message_t *message =
-        g_malloc0(sizeof(*message) + parts_count * sizeof(ts_part_t));
+        g_malloc0(sizeof(*message) + parts_count * sizeof(ts_subrequest_t));
     message->head.type = TS_MESSAGE_SUBREQUESTS;
     message->head.destroy = destroy_subrequests;
     message->peer = peer;
-    message->work = ts_work_ref(work);
+    message->work = ts_query_params_ref(work);
     message->parts_count = parts_count;
     return message;
 }
@@ -112,13 +113,13 @@
 
 static void destroy_peer(ts_message_t *message)
 {
-    g_free(((ts_peer_message_t *)message)->name);
+    g_free(((ts_peer_lost_message_t *)message)->name);
     g_free(message);
 }
 
-ts_peer_message_t *ts_peer_message(uint64_t peer, const char *name)
+ts_peer_lost_message_t *ts_peer_lost_message(uint64_t peer, const char *name)
 {
-    ts_peer_message_t *message = g_new0(ts_peer_message_t, 1);
+    ts_peer_lost_message_t *message = g_new0(ts_peer_lost_message_t, 1);
     message->head.type = TS_MESSAGE_PEER_LOST;
     message->head.destroy = destroy_peer;
     message->peer = peer;
--- a/src/proto/wire.c
+++ b/src/proto/wire.c
@@ -24,7 +24,7 @@
 
 /* ---- building ---- */
 
-static TsWire__Part *build_part(const ts_part_t *part)
+static TsWire__Part *build_part(const ts_subrequest_t *part)
 {
     TsWire__Part *wire = g_new(TsWire__Part, 1);
     ts_wire__part__init(wire);
@@ -38,7 +38,7 @@
 static void add_subrequests(ts_wire_frame_t *frame, const ts_subrequests_message_t *message)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    const ts_work_t *work = message->work;
+    const ts_query_params_t *work = message->work;
     if (work->deadline_us <= now_us) {
         return; /* the front has given up by now */
     }
@@ -226,7 +226,7 @@
 static void deliver_subrequests(const TsWire__Subrequests *wire, uint64_t peer,
                                 ts_wire_receiver_t receiver, void *context)
 {
-    ts_work_t *work = g_new0(ts_work_t, 1);
+    ts_query_params_t *work = g_new0(ts_query_params_t, 1);
     work->references = 1;
     work->request_id = g_strdup(wire->request_id);
     work->kind = g_strdup(wire->kind);
@@ -245,7 +245,7 @@
         message->parts[i].shard = wire->parts[i]->shard;
         message->parts[i].wanted_snapshot = wire->parts[i]->wanted_snapshot;
     }
-    ts_work_unref(work);
+    ts_query_params_unref(work);
     receiver(context, &message->head);
 }
 
@@ -256,7 +256,8 @@
     ts_subreply_t *subreply = &message->subreply;
     subreply->counter = wire->counter;
     subreply->error = (ts_error_t)wire->error;
-    subreply->run = wire->run > TS_RUN_NOT_HERE ? TS_RUN_MAYBE : (ts_run_t)wire->run;
+    subreply->run =
+        wire->run > TS_EXECUTION_NOT_HERE ? TS_EXECUTION_POSSIBLE : (ts_execution_t)wire->run;
     subreply->snapshot = wire->snapshot;
     subreply->total = wire->total;
     subreply->service_us = wire->service_us;
--- a/src/upstream/upstream.c
+++ b/src/upstream/upstream.c
@@ -133,7 +133,7 @@
     result->is_untimed = exchange->is_untimed;
     if (result->answer != NULL)
         take_load(exchange, result->answer, now_us);
-    if (result->error == TS_OK && result->run == TS_RUN_DONE) {
+    if (result->error == TS_OK && result->run == TS_EXECUTION_COMPLETED) {
         bool is_failure = result->answer->parser.status_code >= STATUS_SERVER_ERROR;
         ts_instance_note_result(exchange->instance, is_failure, now_us);
         ts_instance_note_answer(exchange->instance, now_us, (double)result->span_us,
@@ -185,7 +185,7 @@
     ts_connection_t *connection = exchange->connection;
     if (exchange->sent_us != 0)
         ts_instance_note_result(exchange->instance, true, ts_clock_now_us());
-    ts_run_t run = exchange->sent_us == 0 ? TS_RUN_NOT : TS_RUN_MAYBE;
+    ts_execution_t run = exchange->sent_us == 0 ? TS_EXECUTION_NONE : TS_EXECUTION_POSSIBLE;
     ts_exchange_result_t result = {.error = error, .run = run};
     ts_count(TS_COUNTER_SEND_FAILURES, 1);
     ts_count_error(error);
@@ -503,10 +503,11 @@
 }
 
 /* Whether the request was run, as the answer tells it. */
-static ts_run_t read_run(const ts_upstream_t *upstream, const ts_http_message_t *answer)
+static ts_execution_t read_run(const ts_upstream_t *upstream, const ts_http_message_t *answer)
 {
     bool says_not = ts_http_message_find(answer, upstream->dialect->headers.not_executed) != NULL;
-    return says_not || answer->parser.status_code == STATUS_MISDIRECTED ? TS_RUN_NOT : TS_RUN_DONE;
+    return says_not || answer->parser.status_code == STATUS_MISDIRECTED ? TS_EXECUTION_NONE
+                                                                        : TS_EXECUTION_COMPLETED;
 }
 
 /* Whether the answer is one to this request: another's may come in its place. */
--- a/tests/broker/test_idempotency.c
+++ b/tests/broker/test_idempotency.c
@@ -5,20 +5,22 @@
 
 #define KEEP_US 1000
 
-static ts_work_t make_work(const char *id, const char *key)
+static ts_query_params_t make_work(const char *id, const char *key)
 {
-    ts_work_t work = {.references = 1, .request_id = (char *)id, .kind = "k", .key = (char *)key};
+    ts_query_params_t work = {
+        .references = 1, .request_id = (char *)id, .kind = "k", .key = (char *)key};
     return work;
 }
 
 static void test_runs_once_and_replays(void **state)
 {
     ts_idempotency_t *table = ts_idempotency_create(KEEP_US);
-    ts_work_t work = make_work("a", "1");
+    ts_query_params_t work = make_work("a", "1");
     assert_int_equal(ts_idempotency_admit(table, &work, 0), TS_IDEMPOTENCY_RUN);
     assert_int_equal(ts_idempotency_admit(table, &work, 1), TS_IDEMPOTENCY_UNKNOWN);
     ts_hit_t hit = {"h", 0.5, "text"};
-    ts_subreply_t outcome = {.run = TS_RUN_DONE, .snapshot = 7, .hits = &hit, .hits_count = 1};
+    ts_subreply_t outcome = {
+        .run = TS_EXECUTION_COMPLETED, .snapshot = 7, .hits = &hit, .hits_count = 1};
     ts_idempotency_finish(table, "a", &outcome, 2);
     assert_int_equal(ts_idempotency_admit(table, &work, 3), TS_IDEMPOTENCY_REPLAY);
     ts_subreply_t kept = {0};
@@ -32,8 +34,8 @@
 static void test_other_request_under_one_id(void **state)
 {
     ts_idempotency_t *table = ts_idempotency_create(KEEP_US);
-    ts_work_t first = make_work("a", "1");
-    ts_work_t second = make_work("a", "2");
+    ts_query_params_t first = make_work("a", "1");
+    ts_query_params_t second = make_work("a", "2");
     assert_int_equal(ts_idempotency_admit(table, &first, 0), TS_IDEMPOTENCY_RUN);
     assert_int_equal(ts_idempotency_admit(table, &second, 0), TS_IDEMPOTENCY_REUSED);
     ts_idempotency_destroy(table);
@@ -42,7 +44,7 @@
 static void test_release_and_expiry(void **state)
 {
     ts_idempotency_t *table = ts_idempotency_create(KEEP_US);
-    ts_work_t work = make_work("a", "1");
+    ts_query_params_t work = make_work("a", "1");
     assert_int_equal(ts_idempotency_admit(table, &work, 0), TS_IDEMPOTENCY_RUN);
     ts_idempotency_release(table, "a");
     assert_int_equal(ts_idempotency_admit(table, &work, 0), TS_IDEMPOTENCY_RUN);
--- a/tests/cli/test_node_replies.c
+++ b/tests/cli/test_node_replies.c
@@ -25,7 +25,7 @@
     char *settings;
     GPid node;
     ts_error_t error; /* from the reply */
-    ts_run_t run;
+    ts_execution_t run;
     bool is_answered;
 } fixture_t;
 
@@ -115,9 +115,9 @@
     assert_non_null(fixture->link);
 }
 
-static ts_work_t *make_work(void)
+static ts_query_params_t *make_work(void)
 {
-    ts_work_t *work = g_new0(ts_work_t, 1);
+    ts_query_params_t *work = g_new0(ts_query_params_t, 1);
     work->references = 1;
     work->request_id = g_strdup("q-1");
     work->kind = g_strdup("dispatch");
@@ -130,7 +130,7 @@
 
 static void send_subrequest(fixture_t *fixture)
 {
-    ts_work_t *work = make_work();
+    ts_query_params_t *work = make_work();
     ts_subrequests_message_t *message = ts_subrequests_message(1, work, 1);
     message->parts[0].counter = SUBREQUEST_ID;
     message->parts[0].backend = 5;
@@ -142,7 +142,7 @@
     ts_wire_frame_free(frame);
     ts_peer_link_send(fixture->link, fixture->node_address, bytes, length);
     message->head.destroy(&message->head);
-    ts_work_unref(work);
+    ts_query_params_unref(work);
     g_free(bytes);
 }
 
@@ -167,7 +167,7 @@
 // A node that does not own the backend yet must refuse the subrequest, also if the sender is not in
 // its view. The reply to an unknown node used to be dropped, so that 1 of 175 dispatches during a
 // rolling stop ran into its deadline and ended unknown.
-static void test_node_replies_to_one_it_has_not_heard_of(void **state)
+static void test_node_replies_to_unknown_peer(void **state)
 {
     static fixture_t fixture; // static, as nng's threads may wake its loop later
     open_fixture(&fixture);
@@ -177,7 +177,7 @@
     stop_node(&fixture);
     assert_true(fixture.is_answered);
     assert_int_equal(fixture.error, TS_E_NOT_OWNER);
-    assert_int_equal(fixture.run, TS_RUN_NOT);
+    assert_int_equal(fixture.run, TS_EXECUTION_NONE);
 }
 
 /* Returns the list of cores on which a thread may run; NULL if the thread has ended. */
@@ -240,7 +240,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_node_replies_to_one_it_has_not_heard_of),
+        cmocka_unit_test(test_node_replies_to_unknown_peer),
         cmocka_unit_test(test_threads_may_run_on_all_cores),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/config/test_declarations.c
+++ b/tests/config/test_declarations.c
@@ -1,9 +1,9 @@
-/** Loading of declarations: valid documents, and the location and reason of each problem. */
+/** Loading of declarations: valid documents, and the path, reason and line of problems. */
 #include "../test_support.h"
 
 #include <string.h>
 
-static void test_plans_reach_and_replicas(void **state)
+static void test_computes_reachable_shards_and_replicas(void **state)
 {
     ts_declarations_t *declarations = test_load(test_declarations_text);
     const ts_selector_t *all = ts_declarations_selector(declarations, "all");
@@ -18,15 +18,18 @@
     ts_declarations_unref(declarations);
 }
 
-/* An edit of the valid document, the expected path and a part of the expected reason. */
-typedef struct refusal {
+/*
+ * An edit of the valid document, in which every `from` is replaced by `to`, with the expected path
+ * and a part of the expected reason.
+ */
+typedef struct invalid_edit {
     const char *from;
     const char *to;
     const char *path;
     const char *reason;
-} refusal_t;
+} invalid_edit_t;
 
-static const refusal_t refusals[] = {
+static const invalid_edit_t invalid_edits[] = {
     {"version: 3", "version: 0", "version", "begin at 1"},
     {"version: 3", "version: 3\ncolour: red", "(document)", "Unexpected key"},
     {"slots: 2", "slots: many", "backends[0].slots", "Invalid"},
@@ -57,33 +60,43 @@
     {"connections: 10", "connections: 3", "backends[0].connections", "not between"},
 };
 
-static void test_refuses_with_place_and_reason(void **state)
+static void test_reports_path_and_reason(void **state)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(refusals); i++) {
-        char *text = test_replace(test_declarations_text, refusals[i].from, refusals[i].to);
-        char *lines = test_load_refused(text);
-        if (strstr(lines, refusals[i].path) == NULL || strstr(lines, refusals[i].reason) == NULL) {
-            fail_msg("replacing '%s' by '%s' reported: %s", refusals[i].from, refusals[i].to,
-                     lines);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_edits); i++) {
+        char *text =
+            test_replace(test_declarations_text, invalid_edits[i].from, invalid_edits[i].to);
+        char *problems = test_load_refused(text);
+        if (strstr(problems, invalid_edits[i].path) == NULL ||
+            strstr(problems, invalid_edits[i].reason) == NULL) {
+            fail_msg("replacing '%s' by '%s' reported: %s", invalid_edits[i].from,
+                     invalid_edits[i].to, problems);
         }
-        g_free(lines);
+        g_free(problems);
         g_free(text);
     }
 }
 
-static void test_names_the_line(void **state)
+static void test_reports_line_number(void **state)
 {
     char *text = test_replace(test_declarations_text, "'127.0.0.1:1003'", "'x:1'");
-    char *lines = test_load_refused(text);
-    assert_non_null(strstr(lines, "file:11: backends[2].address"));
-    g_free(lines);
+    char *problems = test_load_refused(text);
+    /* b3 is on line 11; test_load_refused() reports the file name as "file". */
+    assert_non_null(strstr(problems, "file:11: backends[2].address"));
+    g_free(problems);
     g_free(text);
 }
 
-static void test_refuses_what_is_no_document(void **state)
+static void test_rejects_malformed_documents(void **state)
 {
     static const char *const texts[] = {
-        "", "just text", "[1, 2]", "version: [", "version: 1\n", "a: &x [*x]", "\x01\x02"};
+        "",
+        "just text",
+        "[1, 2]",
+        "version: [",   // unterminated list
+        "version: 1\n", // required keys missing
+        "a: &x [*x]",   // recursive alias
+        "\x01\x02",     // control characters
+    };
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
         g_free(test_load_refused(texts[i]));
     }
@@ -92,10 +105,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_plans_reach_and_replicas),
-        cmocka_unit_test(test_refuses_with_place_and_reason),
-        cmocka_unit_test(test_names_the_line),
-        cmocka_unit_test(test_refuses_what_is_no_document),
+        cmocka_unit_test(test_computes_reachable_shards_and_replicas),
+        cmocka_unit_test(test_reports_path_and_reason),
+        cmocka_unit_test(test_reports_line_number),
+        cmocka_unit_test(test_rejects_malformed_documents),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/config/test_gateway_settings.c
+++ b/tests/config/test_gateway_settings.c
@@ -32,7 +32,7 @@
     ts_gateway_settings_free(settings);
 }
 
-static void test_where_it_is_reached(void **state)
+static void test_peer_address(void **state)
 {
     ts_gateway_settings_t *settings = load("peers: 127.0.0.1:4\n");
     assert_string_equal(ts_gateway_settings_peer_address(settings), "127.0.0.1:4");
@@ -42,7 +42,7 @@
     ts_gateway_settings_free(settings);
 }
 
-static void test_what_is_refused(void **state)
+static void test_rejects_invalid_settings(void **state)
 {
     assert_null(load("peers: somewhere:4\n"));
     assert_null(load("peers: 127.0.0.1:4\nadvertised: somewhere\n"));
@@ -51,7 +51,7 @@
     assert_null(load("no_such_key: 1\n"));
 }
 
-static void test_mechanisms_are_named(void **state)
+static void test_disabled_mechanisms(void **state)
 {
     ts_gateway_settings_t *settings = load("without: [travel, loans]\n");
     assert_non_null(settings);
@@ -64,9 +64,9 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_defaults),
-        cmocka_unit_test(test_where_it_is_reached),
-        cmocka_unit_test(test_what_is_refused),
-        cmocka_unit_test(test_mechanisms_are_named),
+        cmocka_unit_test(test_peer_address),
+        cmocka_unit_test(test_rejects_invalid_settings),
+        cmocka_unit_test(test_disabled_mechanisms),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/config/test_tenant_table.c
+++ b/tests/config/test_tenant_table.c
@@ -25,7 +25,7 @@
     return ts_tenants_find_by_key(tenants, &digest);
 }
 
-static void test_each_key_leads_to_its_tenant(void **state)
+static void test_finds_tenant_by_key(void **state)
 {
     ts_tenants_t *tenants = ts_tenants_create();
     ts_tenants_add(tenants, "one");
@@ -74,7 +74,7 @@
     ts_tenants_free(tenants);
 }
 
-static void test_contradictions_are_refused(void **state)
+static void test_rejects_invalid_tenants(void **state)
 {
     check_refused("one", "x", 0, 0, "tenants[1]");
     check_refused(NULL, "x", 0, 0, "tenants[1]");
@@ -92,9 +92,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_each_key_leads_to_its_tenant),
+        cmocka_unit_test(test_finds_tenant_by_key),
         cmocka_unit_test(test_digest_is_sha256),
-        cmocka_unit_test(test_contradictions_are_refused),
+        cmocka_unit_test(test_rejects_invalid_tenants),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/proto/test_wire.c
+++ b/tests/proto/test_wire.c
@@ -39,9 +39,9 @@
     return bytes;
 }
 
-static ts_work_t *make_work(void)
+static ts_query_params_t *make_work(void)
 {
-    ts_work_t *work = g_new0(ts_work_t, 1);
+    ts_query_params_t *work = g_new0(ts_query_params_t, 1);
     work->references = 1;
     work->request_id = g_strdup("id");
     work->kind = g_strdup("kind");
@@ -53,11 +53,11 @@
 
 static ts_message_t *make_subrequests(void)
 {
-    ts_work_t *work = make_work();
+    ts_query_params_t *work = make_work();
     ts_subrequests_message_t *message = ts_subrequests_message(1, work, 2);
     message->parts[1].counter = 77;
     message->parts[1].shard = UINT64_MAX;
-    ts_work_unref(work);
+    ts_query_params_unref(work);
     return &message->head;
 }
 
@@ -66,7 +66,7 @@
     ts_subreply_message_t *message = ts_subreply_message(1);
     message->subreply.counter = 42;
     message->subreply.error = TS_E_QUEUE_FULL;
-    message->subreply.run = TS_RUN_NOT;
+    message->subreply.run = TS_EXECUTION_NONE;
     message->subreply.hits = g_new0(ts_hit_t, 1);
     message->subreply.hits_count = 1;
     message->subreply.hits[0].id = g_strdup("hit");
@@ -108,7 +108,7 @@
 
 static void test_late_work_is_not_sent(void **state)
 {
-    ts_work_t *work = make_work();
+    ts_query_params_t *work = make_work();
     work->deadline_us = 1;
     ts_message_t *message = &ts_subrequests_message(1, work, 1)->head;
     size_t length = 0;
@@ -118,7 +118,7 @@
     assert_int_equal(inbox.count, 0);
     g_free(bytes);
     message->destroy(message);
-    ts_work_unref(work);
+    ts_query_params_unref(work);
 }
 
 static void test_strangers_are_refused(void **state)
