--- a/tests/cli/test_node_replies.c
+++ b/tests/cli/test_node_replies.c
@@ -167,7 +167,7 @@
 // A node that does not own the backend yet must refuse the subrequest, also if the sender is not in
 // its view. The reply to an unknown node used to be dropped, so that 1 of 175 dispatches during a
 // rolling stop ran into its deadline and ended unknown.
-static void test_node_replies_to_one_it_has_not_heard_of(void **state)
+static void test_node_replies_to_unknown_peer(void **state)
 {
     static fixture_t fixture; // static, as nng's threads may wake its loop later
     open_fixture(&fixture);
@@ -240,7 +240,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_node_replies_to_one_it_has_not_heard_of),
+        cmocka_unit_test(test_node_replies_to_unknown_peer),
         cmocka_unit_test(test_threads_may_run_on_all_cores),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
