--- a/lab/soak.c
+++ b/lab/soak.c
@@ -98,12 +98,12 @@
 static bool await_faults_ended(soak_t *s)
 {
     for (unsigned waited = 0; waited < SETTLE_TIMEOUT_MS; waited += POLL_MS) {
-        bool is_calm = s->store_faults == 0;
+        bool without_faults = s->store_faults == 0;
         for (unsigned i = 0; i < s->options.nodes; i++) {
             const soak_node_t *node = &s->nodes[i];
-            is_calm &= node->is_running && node->active_faults == 0 && !node->is_stopping;
+            without_faults &= node->is_running && node->active_faults == 0 && !node->is_stopping;
         }
-        if (is_calm)
+        if (without_faults)
             return true;
         run_loop(s, POLL_MS);
     }
@@ -197,7 +197,7 @@
         json_pack("{s:I, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:o}", "seed",
                   (json_int_t)s->options.seed, "seconds", (int)s->options.seconds, "gateways",
                   (int)s->options.nodes, "faults", (int)s->faults_begun, "versions",
-                  (int)s->version, "searchers", (int)s->searchers_made, "requests",
+                  (int)s->version, "searchers", (int)s->searchers_created, "requests",
                   (int)s->requests_sent, "ok", (int)s->responses[2], "refused_or_failed",
                   (int)s->responses[5], "no_answer", (int)s->responses[0], "promises_broken",
                   (int)s->violations, "broken", violations_by_guarantee);
@@ -244,10 +244,10 @@
     }
     run_loop(&s, RECOVERY_TIME_MS / 4);
     soak_callers_start(&s);
-    if (!options->is_calm)
+    if (!options->without_faults)
         soak_faults_start(&s);
     run_loop(&s, (uint64_t)options->seconds * 1000);
-    s.is_draining = true;
+    s.is_load_ended = true;
     check_recovery(&s);
     check_budgets(&s);
     soak_check_quota(&s);
@@ -285,8 +285,8 @@
             .program = program->filename[0],
             .skewed_program = skewed->count > 0 ? skewed->filename[0] : NULL,
             .directory = directory->filename[0],
-            .is_calm = calm->count > 0,
-            .is_planted = plant->count > 0,
+            .without_faults = calm->count > 0,
+            .simulates_bugs = plant->count > 0,
             .is_log_stalled = stalled->count > 0};
         exit_code = run_soak(&options);
     }
--- a/lab/soak.h
+++ b/lab/soak.h
@@ -29,8 +29,8 @@
 
 #define SOAK_NODES_MAX 8
 #define SOAK_SERVICES 8
-// Replicas per service; shards in each of the two sets that a configuration may gather from.
-#define SOAK_REPLICAS 2
+#define SOAK_REPLICAS 2 // per service
+// Services that a gather route sends to; versions alternate between two such sets of services.
 #define SOAK_SHARDS 3
 
 typedef struct soak soak_t;
@@ -47,15 +47,15 @@
 // A fake searcher and the link through which gateways reach it.
 typedef struct soak_searcher {
     soak_t *soak;
-    lab_searcher_t *standin;
+    lab_searcher_t *fake;
     soak_link_t link;
     unsigned service;
     unsigned replica;
     ts_time_us_t draining_since_us; // when its entry was set to draining; 0: not draining
-    ts_time_us_t cold_since_us;     // start of its latest warm-up; 0: always warm
-    GArray *arrivals;               // ts_time_us_t[]: requests received during warm-up
-    uv_timer_t restart_timer;       // runs after a crash
-    bool is_faulty;
+    ts_time_us_t cold_since_us;     // start of its latest warm-up; 0: no warm-up so far
+    GArray *arrivals;         // ts_time_us_t[]: requests during warm-up with an undisturbed link
+    uv_timer_t restart_timer; // runs after a crash
+    bool has_fault;           // a fault of its behaviour or its delay is in effect
 } soak_searcher_t;
 
 typedef struct soak_node {
@@ -68,8 +68,8 @@
     unsigned callers_port;
     unsigned ready_port;
     unsigned peers_port;
-    soak_link_t store;
-    soak_link_t peers;
+    soak_link_t store_link;
+    soak_link_t peers_link;
     lab_child_t *process; // NULL: not running
     bool is_running;
     bool is_paused;
@@ -90,7 +90,7 @@
     char target[32];
     unsigned attempts;
     unsigned crashes;            // searchers crashed by it
-    ts_time_us_t third_crash_us; // time of the third crash; 0: not yet
+    ts_time_us_t third_crash_us; // start of the count of late_arrivals; 0: not yet
     unsigned late_arrivals; // from fault-free gateways, more than contactMs after the third crash
     bool is_finished;       // callers no longer send it
 } soak_fatal_request_t;
@@ -100,14 +100,14 @@
     soak_node_t *node;
     unsigned runs; // number of times that searchers ran it
     bool is_repeatable;
-    bool was_refused;  // the response stated that it has not run and never will
-    int tenant;        // the tenant whose key it carried; -1: none was needed
-    uint64_t version;  // newest configuration when it was sent
-    bool has_old_key;  // its key belongs to an earlier configuration version
-    bool is_key_due;   // a fault-free gateway must accept its key
-    bool is_revoked;   // its key had been revoked long enough for gateways to reject it
-    bool is_placed;    // it may run in the first region only
-    uint64_t services; // bit set of the services that have received it
+    bool was_refused;          // the response stated that it has not run and never will
+    int tenant;                // the tenant whose key it carried; -1: none was needed
+    uint64_t version;          // newest configuration when it was sent; 0: sent without a key
+    bool has_old_key;          // its key was revoked by a newer configuration version
+    bool must_accept_key;      // its key had been in the configuration long enough when it was sent
+    bool is_revoked;           // its key had been revoked long enough when it was sent
+    bool is_region_restricted; // it may run in the first region only
+    uint64_t services;         // bit set of the services that have received it
     soak_fatal_request_t *fatal_request; // NULL: it crashes nothing
 } soak_request_record_t;
 
@@ -118,12 +118,13 @@
     const char *program;
     const char *skewed_program; // build of `program` with a skewed wall clock; NULL: none
     const char *directory;
-    bool is_calm;        // no faults
+    bool without_faults;
     bool is_log_stalled; // gateways log into pipes that are never read
-    // Simulates bugs that the checks must detect: drains, new configuration versions, evacuations,
-    // region restrictions, quotas and warm-ups are not published, a tenant has a wrong name, a
-    // repeated run of any request counts as a violation, and the quarantine is disabled.
-    bool is_planted;
+    // Simulates bugs that the checks must detect. Drains, configuration versions after the first,
+    // evacuations, region restrictions, quotas and warm-ups are left out of the store, one tenant
+    // gets a wrong name, and the gateways' quarantine is disabled. In addition, the checks treat
+    // all requests as unrepeatable.
+    bool simulates_bugs;
 } soak_options_t;
 
 struct soak {
@@ -139,7 +140,7 @@
     unsigned last_store_calls; // lab_store_call_count at the last check
     soak_node_t nodes[SOAK_NODES_MAX];
     soak_searcher_t *searchers[SOAK_SERVICES][SOAK_REPLICAS];
-    unsigned searchers_made;
+    unsigned searchers_created;
     unsigned evacuated_zone;         // zone number from 1; 0: none
     ts_time_us_t evacuated_us;       // when it was written to the store
     uint64_t version;                // newest configuration
@@ -158,11 +159,11 @@
     GHashTable *violations_by_guarantee; // guarantee -> number of violations
     unsigned requests_in_flight;
     unsigned faults_begun;
-    bool is_draining; // no new faults or requests
+    bool is_load_ended; // no new faults or random requests; only those of the recovery check
 };
 
 // -- soak.c
-/** Logs and counts a violation of a guarantee. */
+/** Logs and counts a violation of a guarantee, given by its code such as "DRAIN". */
 void soak_report_violation(soak_t *s, const char *guarantee, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 /** Writes a line to the timeline. */
@@ -173,30 +174,37 @@
 bool soak_node_start(soak_node_t *node);
 void soak_node_signal(soak_node_t *node, int number);
 /**
- * Publishes the next configuration version. Shards and services change by version, the marker route
- * with each.
+ * Publishes the next configuration version. The shards of the gather route and the service of the
+ * forwarding routes depend on the version. Each version also has a marker route of its own, "/vN/",
+ * which shows callers that it is in effect.
  */
-void soak_configure(soak_t *s);
+void soak_publish_configuration(soak_t *s);
 /** Writes an invalid entry among the searchers' entries, as another writer would. */
 void soak_write_foreign_entry(soak_t *s);
 /**
- * Called when a searcher has crashed. After a delay, either a new searcher replaces it or it
- * returns under its id as its next incarnation, in both cases at a new address.
+ * Called when a searcher has crashed. After a delay its entry is deleted and a new searcher
+ * replaces it, or it returns under its id as its next incarnation, possibly while its old entry
+ * still exists; in both cases at a new address. A searcher that was already replaced only loses its
+ * entry.
  */
 void soak_restart_searcher(soak_searcher_t *searcher);
 /** Drains a searcher and adds another in its place, at a new address. */
 void soak_replace_searcher(soak_t *s, unsigned service, unsigned replica);
-/** Evacuates a zone (numbered from 1). Its searchers are cold when the evacuation ends. */
+/** Evacuates a zone, numbered from 1. */
 void soak_evacuate(soak_t *s, unsigned zone);
+/** Ends the evacuation; the zone's searchers start a warm-up. */
 void soak_end_evacuation(soak_t *s);
 void soak_set_link_mode(soak_link_t *link, lab_link_mode_t mode, double delay_ms);
 /**
- * Whether the node and the store have been free of faults for the platform's `contactMs`, so that
- * guarantees with a time limit apply to the node.
+ * Whether the node runs, is not stopping, and the node and the store have been free of faults for
+ * the platform's `contactMs` (5 s). Only then guarantees with a time limit apply to the node.
  */
-bool soak_is_fault_free(const soak_node_t *node, ts_time_us_t now_us);
-/** Counts a fault of the node or its links that begins (1), ends (-1) or is momentary (0). */
-void soak_count_node_fault(soak_node_t *node, int faults);
+bool soak_node_is_fault_free(const soak_node_t *node, ts_time_us_t now_us);
+/**
+ * Adds `faults` to the node's active faults and records the time of the change; 0: a momentary
+ * fault.
+ */
+void soak_node_count_fault(soak_node_t *node, int faults);
 /** Service names: "a", "b", ... */
 const char *soak_service_name(unsigned service);
 /** First of the SOAK_SHARDS consecutive services that a configuration version gathers from. */
@@ -220,49 +228,72 @@
                               const char *request_id);
 
 // -- soak_tenants.c
-/** Tolerance of a quota over all gateways in any window of 5 s: a quarter plus five requests. */
+/**
+ * All gateways together may exceed rate x window + burst of a quota by a quarter plus five requests
+ * in any window of 5 s.
+ */
 #define SOAK_QUOTA_SETTINGS "quota_window_ms: 5000\nquota_overrun: 0.25\nquota_slack: 5\n"
 /** Composes the tenants of a configuration version as JSON; caller frees with g_free. */
-char *soak_compose_tenants(uint64_t version, bool is_planted);
+char *soak_compose_tenants(uint64_t version, bool simulates_bugs);
+/**
+ * Chooses a tenant and a key at random, stores them in `record` and returns the header fields,
+ * which include a forged tenant; caller frees with g_free. `without_key`: no tenant and no key;
+ * `must_be_accepted`: the tenant with no quota and a constant key.
+ */
+char *soak_choose_credentials(soak_t *s, soak_request_record_t *record, bool without_key,
+                              bool must_be_accepted);
+/**
+ * Checks that a received request names the right tenant, no longer carries the key, and that the
+ * key was not revoked.
+ */
+void soak_check_tenant(soak_t *s, const lab_searcher_t *fake, const ts_http_message_t *request);
 /**
- * Chooses a tenant and a key at random, stores them in `record` and returns the header fields;
- * caller frees with g_free. `is_open`: no key; `must_pass`: the tenant that has no quota.
+ * Records a request of the limited tenant that runs for the first time (`is_first`); ignores
+ * others.
+ */
+void soak_record_limited_run(soak_t *s, const soak_request_record_t *record, bool is_first);
+/**
+ * Checks that a response with status 401 or 429 was justified and that a 429 has a Retry-After
+ * field. `was_fault_free`: the gateway was, from the sending of the request until now.
  */
-char *soak_choose_credentials(soak_t *s, soak_request_record_t *record, bool is_open,
-                              bool must_pass);
-/** Checks that a received request names the right tenant and no longer carries the key. */
-void soak_check_tenant(soak_t *s, const lab_searcher_t *standin, const ts_http_message_t *request);
-/** Records a request received by a searcher; `is_first`: it runs for the first time. */
-void soak_record_run(soak_t *s, const soak_request_record_t *record, bool is_first);
-/** Checks a response with status 401 or 429. */
 void soak_check_rejection(soak_t *s, const soak_request_record_t *record, const char *id,
-                          const ts_http_message_t *answer, bool was_fault_free);
-/** Checks that the limited tenant kept its quota over all gateways in every window. */
+                          const ts_http_message_t *response, bool was_fault_free);
+/**
+ * Checks that in every window the gateways together ran no more requests of the limited tenant than
+ * its quota and the tolerance allow.
+ */
 void soak_check_quota(soak_t *s);
 
 // -- soak_restore.c
 /** Copies the store's state for a later restore; false: another store fault is in effect. */
-bool soak_begin_restore(soak_t *s);
-/** Makes the store unavailable; after a random time it is restored from the copy. */
-void soak_end_restore(soak_t *s);
+bool soak_prepare_restore(soak_t *s);
+/** Makes the store fail or stay silent; restores it from the copy after a random time. */
+void soak_restore_after_outage(soak_t *s);
 /** Checks each second that the gateways do not call the store in a busy loop. */
 void soak_watch_store_calls(soak_t *s);
 
 // -- soak_faults.c
-/** Counts a store fault that begins (1) or ends (-1). */
+/** Adds `faults` to the active faults of the store and records the time of the change. */
 void soak_count_store_fault(soak_t *s, int faults);
-/** Begins faults at random times until the soak drains; each ends after its own duration. */
+/** Begins faults at random times until is_load_ended; each ends after its own duration. */
 void soak_faults_start(soak_t *s);
 
 // -- soak_caller.c
-/** Sends requests to random gateways until the soak drains. */
+/** Sends requests to random gateways until is_load_ended. */
 void soak_callers_start(soak_t *s);
 /** Called with the status of a response, 0 if there was none. */
 typedef void (*soak_done_t)(soak_t *s, unsigned status);
+/**
+ * Sends a request. `on_done` NULL: on a random route; else on the gather route, as the tenant
+ * without a quota.
+ */
 void soak_send_request(soak_t *s, soak_node_t *node, soak_done_t on_done);
 /** Sends a fatal request once. */
 void soak_send_fatal_request(soak_t *s, soak_node_t *node, soak_fatal_request_t *fatal);
-/** Whether callers still send to the gateway: it runs, and SIGTERM was not sent too long ago. */
-bool soak_accepts_requests(const soak_node_t *node);
+/**
+ * Whether callers still send to the gateway: it runs, and SIGTERM was sent less than
+ * REQUESTS_AFTER_SIGTERM_US ago if at all.
+ */
+bool soak_node_accepts_requests(const soak_node_t *node);
 
 #endif
--- a/lab/soak_caller.c
+++ b/lab/soak_caller.c
@@ -41,7 +41,7 @@
     uv_tcp_t socket;
     uv_connect_t connecting;
     uv_timer_t timer;
-    ts_http_message_t answer;
+    ts_http_message_t response;
     unsigned open_handles;
     bool is_connected;
     bool is_finished;
@@ -54,7 +54,7 @@
     call_t *call = handle->data;
     if (--call->open_handles > 0)
         return;
-    ts_http_message_clear(&call->answer);
+    ts_http_message_clear(&call->response);
     g_free(call->credentials);
     g_free(call);
 }
@@ -80,7 +80,7 @@
 static bool was_fault_free(const call_t *call)
 {
     return call->was_fault_free && call->incarnation == call->node->incarnation &&
-           soak_is_fault_free(call->node, ts_clock_now_us());
+           soak_node_is_fault_free(call->node, ts_clock_now_us());
 }
 
 static const char *service_of(void *ctx, const char *instance_id)
@@ -89,8 +89,8 @@
     return g_hash_table_lookup(s->instances, instance_id);
 }
 
-// The parts must come from the shards of a single configuration version, and none may be
-// unaccounted for.
+// The merged response must consist of the shards of a single configuration version; each of them
+// must have signed or be reported as missing.
 static bool is_one_version(const call_t *call, uint64_t services, unsigned missing)
 {
     uint64_t first = ((1ULL << SOAK_SHARDS) - 1);
@@ -102,12 +102,12 @@
 
 static void check_gathered(const call_t *call)
 {
-    const ts_http_message_t *answer = &call->answer;
-    const char *signatures = ts_http_message_find(answer, NAME_PART_SIGNATURES);
-    const char *missing = ts_http_message_find(answer, NAME_MISSING_PARTS);
+    const ts_http_message_t *response = &call->response;
+    const char *signatures = ts_http_message_find(response, NAME_PART_SIGNATURES);
+    const char *missing = ts_http_message_find(response, NAME_MISSING_PARTS);
     soak_gathered_t gathered = {call->id, signatures == NULL ? "" : signatures,
-                                missing == NULL ? 0 : (unsigned)atoi(missing), answer->body->str,
-                                answer->body->len};
+                                missing == NULL ? 0 : (unsigned)atoi(missing), response->body->str,
+                                response->body->len};
     uint64_t services = 0;
     const char *error = soak_check_gathered(&gathered, service_of, call->s, &services);
     if (error == NULL && !is_one_version(call, services, gathered.missing))
@@ -120,21 +120,21 @@
 // A forwarded response must be the unchanged response of one searcher.
 static void check_forwarded(const call_t *call)
 {
-    const ts_http_message_t *answer = &call->answer;
-    const char *signature = ts_http_message_find(answer, NAME_SIGNATURE);
+    const ts_http_message_t *response = &call->response;
+    const char *signature = ts_http_message_find(response, NAME_SIGNATURE);
     char **words = g_strsplit(signature == NULL ? "" : signature, ".", 4);
     const char *service = g_strv_length(words) == 4 && strcmp(words[3], call->id) == 0
                               ? service_of(call->s, words[1])
                               : NULL;
-    GString *wanted = g_string_new(NULL);
+    GString *expected = g_string_new(NULL);
     if (service != NULL)
-        soak_compose_body(service, call->id, wanted);
-    if (service == NULL || wanted->len != answer->body->len ||
-        memcmp(wanted->str, answer->body->str, wanted->len) != 0)
+        soak_compose_body(service, call->id, expected);
+    if (service == NULL || expected->len != response->body->len ||
+        memcmp(expected->str, response->body->str, expected->len) != 0)
         soak_report_violation(call->s, "MIXED", "%s answered %s with another's answer (%s)",
                               call->node->name, call->id,
                               signature == NULL ? "unsigned" : signature);
-    g_string_free(wanted, TRUE);
+    g_string_free(expected, TRUE);
     g_strfreev(words);
 }
 
@@ -165,21 +165,21 @@
         call->node->version_seen = MAX(call->node->version_seen, call->version);
 }
 
-static void check_answer(const call_t *call)
+static void check_response(const call_t *call)
 {
     soak_t *s = call->s;
-    unsigned status = call->answer.parser.status_code;
+    unsigned status = call->response.parser.status_code;
     soak_request_record_t *record = g_hash_table_lookup(s->request_records, call->id);
     if (is_refusal(status)) {
         record->was_refused = true;
         if (record->runs > 0 && !record->is_repeatable)
             soak_report_violation(s, "REFUSED", "%s answered %s with %u though it ran",
                                   call->node->name, call->id, status);
-        bool is_quarantined = strstr(call->answer.body->str, "quarantined") != NULL;
+        bool is_quarantined = strstr(call->response.body->str, "quarantined") != NULL;
         if (is_quarantined && call->fatal_request == NULL)
             soak_report_violation(s, "INNOCENT", "%s holds %s, which ends nothing",
                                   call->node->name, call->id);
-        bool has_time = ts_http_message_find(&call->answer, NAME_RETRY_AFTER) != NULL;
+        bool has_time = ts_http_message_find(&call->response, NAME_RETRY_AFTER) != NULL;
         if (!has_time && !is_quarantined && status == 503)
             soak_report_violation(s, "RETRY_AFTER", "%s refused %s without a time to come back",
                                   call->node->name, call->id);
@@ -187,7 +187,7 @@
     if (call->route == ROUTE_MARKER)
         check_marker(call, status);
     if (status == 401 || status == 429)
-        soak_check_rejection(s, record, call->id, &call->answer, was_fault_free(call));
+        soak_check_rejection(s, record, call->id, &call->response, was_fault_free(call));
     if (call->route != ROUTE_MARKER && status >= 400 && status < 500 && status != 401 &&
         !is_refusal(status))
         soak_report_violation(s, "DENIED", "%s answered %s with %u", call->node->name, call->id,
@@ -237,14 +237,14 @@
     if (call->is_finished)
         return;
     if (length > 0)
-        (void)ts_http_message_feed(&call->answer, buffer->base, (size_t)length);
-    if (call->answer.error != TS_OK) {
+        (void)ts_http_message_feed(&call->response, buffer->base, (size_t)length);
+    if (call->response.error != TS_OK) {
         soak_report_violation(call->s, "MIXED", "%s answered %s with bytes that are no answer",
                               call->node->name, call->id);
         finish_call(call, 0);
-    } else if (call->answer.is_complete) {
-        check_answer(call);
-        finish_call(call, call->answer.parser.status_code);
+    } else if (call->response.is_complete) {
+        check_response(call);
+        finish_call(call, call->response.parser.status_code);
     } else if (length < 0) {
         check_closed(call);
         finish_call(call, 0);
@@ -283,14 +283,14 @@
 
 static soak_route_t choose_route(soak_t *s)
 {
-    gint32 at = g_rand_int_range(s->random, 0, 100);
-    if (at < 25)
+    gint32 percent = g_rand_int_range(s->random, 0, 100);
+    if (percent < 25)
         return ROUTE_FORWARD;
-    if (at < 35)
+    if (percent < 35)
         return ROUTE_PLACED;
-    if (at < 55)
+    if (percent < 55)
         return ROUTE_ONCE;
-    return at < 85 ? ROUTE_ALL : ROUTE_MARKER;
+    return percent < 85 ? ROUTE_ALL : ROUTE_MARKER;
 }
 
 static void record_budget_request(call_t *call, unsigned service)
@@ -305,8 +305,8 @@
     soak_t *s = call->s;
     soak_request_record_t *record = g_new0(soak_request_record_t, 1);
     record->node = call->node;
-    record->is_repeatable = call->route != ROUTE_ONCE && !s->options.is_planted;
-    record->is_placed = call->route == ROUTE_PLACED;
+    record->is_repeatable = call->route != ROUTE_ONCE && !s->options.simulates_bugs;
+    record->is_region_restricted = call->route == ROUTE_PLACED;
     call->credentials =
         soak_choose_credentials(s, record, call->route == ROUTE_MARKER,
                                 call->on_done != NULL || call->fatal_request != NULL);
@@ -330,7 +330,7 @@
     call->route = route;
     call->version = s->version;
     call->sent_us = ts_clock_now_us();
-    call->was_fault_free = soak_is_fault_free(node, call->sent_us);
+    call->was_fault_free = soak_node_is_fault_free(node, call->sent_us);
     call->open_handles = 2;
     g_snprintf(call->id, sizeof(call->id), "r%u", ++s->requests_sent);
     return call;
@@ -342,7 +342,7 @@
     const soak_node_t *node = call->node;
     struct sockaddr_in address;
     s->requests_in_flight++;
-    ts_http_message_init(&call->answer, false, HEAD_MAX, BODY_MAX);
+    ts_http_message_init(&call->response, false, HEAD_MAX, BODY_MAX);
     record_request(call);
     uv_tcp_init(&s->loop, &call->socket);
     uv_timer_init(&s->loop, &call->timer);
@@ -372,7 +372,7 @@
     send_call(call);
 }
 
-bool soak_accepts_requests(const soak_node_t *node)
+bool soak_node_accepts_requests(const soak_node_t *node)
 {
     return node->is_running &&
            (!node->is_stopping || ts_clock_now_us() - node->sigterm_us < REQUESTS_AFTER_SIGTERM_US);
@@ -381,13 +381,13 @@
 static void tick(uv_timer_t *timer)
 {
     soak_t *s = timer->data;
-    if (s->is_draining) {
+    if (s->is_load_ended) {
         uv_timer_stop(timer);
         return;
     }
     soak_node_t *node = &s->nodes[g_rand_int_range(s->random, 0, (gint32)s->options.nodes)];
     if (g_rand_int_range(s->random, 0, 1000) < REQUESTS_PER_1000_TICKS &&
-        soak_accepts_requests(node))
+        soak_node_accepts_requests(node))
         soak_send_request(s, node, NULL);
 }
 
--- a/lab/soak_check.h
+++ b/lab/soak_check.h
@@ -8,8 +8,8 @@
 
 #include "tealspar/clock.h"
 
-#define SOAK_RECORDS_PER_ANSWER 8 // records in each searcher's response
-#define SOAK_TOP_RECORDS 5        // highest records kept in a merged response
+#define SOAK_RECORDS_PER_RESPONSE 8 // records in each searcher's response
+#define SOAK_TOP_RECORDS 5          // highest records kept in a merged response
 
 /** Appends the records that every replica of a service returns for a request, unsorted. */
 void soak_compose_body(const char *service, const char *request_id, GString *body);
@@ -29,7 +29,7 @@
  * `service[0] - 'a'`. Returns NULL or a description of the first error.
  */
 typedef const char *(*soak_service_of_t)(void *ctx, const char *instance_id);
-const char *soak_check_gathered(const soak_gathered_t *answer, soak_service_of_t service_of,
+const char *soak_check_gathered(const soak_gathered_t *response, soak_service_of_t service_of,
                                 void *ctx, uint64_t *services);
 
 // Times at which callers sent requests for a service, and at which the service received a request
@@ -50,7 +50,7 @@
 /** Maximum number of `times` (ts_time_us_t[], ascending) in any window. */
 unsigned soak_max_within(const GArray *times, ts_time_us_t window_us);
 
-/** Number of `arrivals` (ts_time_us_t[], ascending) in the window that ends at the last of them. */
-unsigned soak_arrivals_within(const GArray *arrivals, ts_time_us_t window_us);
+/** Number of `arrivals` (ts_time_us_t[], ascending) in the window that ends at the last one. */
+unsigned soak_count_last_window(const GArray *arrivals, ts_time_us_t window_us);
 
 #endif
--- a/lab/soak_crashes.c
+++ b/lab/soak_crashes.c
@@ -7,9 +7,9 @@
 #define LATE_ARRIVALS_MAX 3
 // Number of crashes after which CONTACT_US begins.
 #define CRASHES_COUNTED 3
-// Limit of the crashes by one fatal request: its first gather sends each part at most twice, and
-// three isolated sends follow. Doubled because a gateway that is cut off from the others may not
-// know about the request yet.
+// Limit of the crashes by one fatal request: its first gather sends a request to each shard at most
+// twice, and three isolated sends follow. Doubled because a gateway that is cut off from the others
+// may not know about the request yet.
 #define CRASHES_MAX (2 * (2 * SOAK_SHARDS + 3))
 #define ATTEMPT_GAP_MIN_MS 50
 #define ATTEMPT_GAP_MAX_MS 900
@@ -20,9 +20,9 @@
 {
     soak_t *s = handle->data;
     soak_node_t *node = &s->nodes[g_rand_int_range(s->random, 0, (gint32)s->options.nodes)];
-    if (s->fatal_request == NULL || s->is_draining)
+    if (s->fatal_request == NULL || s->is_load_ended)
         return;
-    if (soak_accepts_requests(node))
+    if (soak_node_accepts_requests(node))
         soak_send_fatal_request(s, node, s->fatal_request);
     uv_timer_start(handle, send_attempt,
                    (uint64_t)g_rand_int_range(s->random, ATTEMPT_GAP_MIN_MS, ATTEMPT_GAP_MAX_MS),
@@ -61,8 +61,7 @@
     soak_request_record_t *record =
         request_id == NULL ? NULL : g_hash_table_lookup(s->request_records, request_id);
     soak_fatal_request_t *fatal = record == NULL ? NULL : record->fatal_request;
-    soak_log(s, "%s ends under %s", searcher->standin->id,
-             fatal == NULL ? "nothing" : fatal->target);
+    soak_log(s, "%s ends under %s", searcher->fake->id, fatal == NULL ? "nothing" : fatal->target);
     soak_restart_searcher(searcher);
     if (fatal == NULL)
         return;
@@ -72,7 +71,7 @@
     s->max_crashes_per_fatal = MAX(s->max_crashes_per_fatal, fatal->crashes);
     if (fatal->crashes == CRASHES_MAX + 1)
         soak_report_violation(s, "CONTAINED", "%u searchers ended under %s, the last %s under %s",
-                              fatal->crashes, fatal->target, searcher->standin->id, request_id);
+                              fatal->crashes, fatal->target, searcher->fake->id, request_id);
 }
 
 void soak_check_fatal_arrival(soak_t *s, const soak_request_record_t *record,
@@ -82,7 +81,7 @@
     ts_time_us_t now_us = ts_clock_now_us();
     bool is_late =
         fatal != NULL && fatal->third_crash_us != 0 && now_us - fatal->third_crash_us > CONTACT_US;
-    if (!is_late || !soak_is_fault_free(record->node, now_us))
+    if (!is_late || !soak_node_is_fault_free(record->node, now_us))
         return;
     if (++fatal->late_arrivals > LATE_ARRIVALS_MAX)
         soak_report_violation(
--- a/lab/soak_faults.c
+++ b/lab/soak_faults.c
@@ -73,7 +73,7 @@
     if (!choose_node(fault))
         return false;
     fault->node->is_paused = true;
-    soak_count_node_fault(fault->node, 1);
+    soak_node_count_fault(fault->node, 1);
     soak_node_signal(fault->node, SIGSTOP);
     return true;
 }
@@ -82,14 +82,14 @@
 {
     soak_node_signal(fault->node, SIGCONT);
     fault->node->is_paused = false;
-    soak_count_node_fault(fault->node, -1);
+    soak_node_count_fault(fault->node, -1);
 }
 
 static bool kill_node(fault_t *fault)
 {
     if (!choose_node(fault))
         return false;
-    soak_count_node_fault(fault->node, 1);
+    soak_node_count_fault(fault->node, 1);
     soak_node_signal(fault->node, SIGKILL);
     return true;
 }
@@ -97,7 +97,7 @@
 static void restart_node(fault_t *fault)
 {
     soak_node_start(fault->node);
-    soak_count_node_fault(fault->node, -1);
+    soak_node_count_fault(fault->node, -1);
 }
 
 static bool skew_clock(fault_t *fault)
@@ -114,7 +114,7 @@
     if (count_unavailable_nodes(s) > 0)
         return false;
     for (unsigned i = 0; i < s->options.nodes; i++) {
-        soak_count_node_fault(&s->nodes[i], 1);
+        soak_node_count_fault(&s->nodes[i], 1);
         soak_node_signal(&s->nodes[i], SIGKILL);
     }
     return true;
@@ -125,7 +125,7 @@
     soak_t *s = fault->s;
     for (unsigned i = 0; i < s->options.nodes; i++) {
         soak_node_start(&s->nodes[i]);
-        soak_count_node_fault(&s->nodes[i], -1);
+        soak_node_count_fault(&s->nodes[i], -1);
     }
 }
 
@@ -195,17 +195,17 @@
 {
     soak_t *s = fault->s;
     soak_node_t *node = &s->nodes[random_between(s, 0, (gint32)s->options.nodes)];
-    if (!disturb_link(fault, random_between(s, 0, 2) == 0 ? &node->store : &node->peers))
+    if (!disturb_link(fault, random_between(s, 0, 2) == 0 ? &node->store_link : &node->peers_link))
         return false;
     fault->node = node;
-    soak_count_node_fault(node, 1);
+    soak_node_count_fault(node, 1);
     return true;
 }
 
 static void restore_node_link(fault_t *fault)
 {
     restore_link(fault);
-    soak_count_node_fault(fault->node, -1);
+    soak_node_count_fault(fault->node, -1);
 }
 
 static soak_searcher_t *choose_searcher(soak_t *s)
@@ -230,13 +230,13 @@
     if (random_between(s, 0, 2) == 0) {
         soak_searcher_t *searcher = choose_searcher(s);
         lab_link_blackhole(searcher->link.link);
-        soak_log(s, "connections to %s go silent", searcher->standin->id);
+        soak_log(s, "connections to %s go silent", searcher->fake->id);
         return true;
     }
-    lab_link_blackhole(node->store.link);
-    lab_link_blackhole(node->peers.link);
+    lab_link_blackhole(node->store_link.link);
+    lab_link_blackhole(node->peers_link.link);
     for (unsigned i = 0; i < s->options.nodes; i++)
-        soak_count_node_fault(&s->nodes[i], 0); // messages from its peers are lost
+        soak_node_count_fault(&s->nodes[i], 0); // messages from its peers are lost
     soak_log(s, "connections of %s go silent", node->name);
     return true;
 }
@@ -251,12 +251,11 @@
         LAB_ANSWERS_TWICE, LAB_WRONG_ID,        LAB_UNSIGNED,
         LAB_ENCODED,       LAB_MALFORMED,       LAB_CLOSES_AFTER};
     soak_searcher_t *searcher = choose_searcher(fault->s);
-    if (searcher->is_faulty)
+    if (searcher->has_fault)
         return false;
-    searcher->is_faulty = true;
-    searcher->standin->behaviour =
-        behaviours[random_between(fault->s, 0, G_N_ELEMENTS(behaviours))];
-    soak_log(fault->s, "%s behaves by %d", searcher->standin->id, searcher->standin->behaviour);
+    searcher->has_fault = true;
+    searcher->fake->behaviour = behaviours[random_between(fault->s, 0, G_N_ELEMENTS(behaviours))];
+    soak_log(fault->s, "%s behaves by %d", searcher->fake->id, searcher->fake->behaviour);
     fault->searcher = searcher;
     return true;
 }
@@ -264,34 +263,34 @@
 static bool slow_down(fault_t *fault)
 {
     soak_searcher_t *searcher = choose_searcher(fault->s);
-    if (searcher->is_faulty)
+    if (searcher->has_fault)
         return false;
-    searcher->is_faulty = true;
-    searcher->standin->delay_ms = (unsigned)random_between(fault->s, 30, DELAY_MAX_MS);
-    searcher->standin->idle_reset_ms = random_between(fault->s, 0, 2) == 0 ? 200 : 0;
-    searcher->standin->connections_max = random_between(fault->s, 0, 2) == 0 ? 4 : 0;
-    soak_log(fault->s, "%s takes %u ms", searcher->standin->id, searcher->standin->delay_ms);
+    searcher->has_fault = true;
+    searcher->fake->delay_ms = (unsigned)random_between(fault->s, 30, DELAY_MAX_MS);
+    searcher->fake->idle_reset_ms = random_between(fault->s, 0, 2) == 0 ? 200 : 0;
+    searcher->fake->connections_max = random_between(fault->s, 0, 2) == 0 ? 4 : 0;
+    soak_log(fault->s, "%s takes %u ms", searcher->fake->id, searcher->fake->delay_ms);
     fault->searcher = searcher;
     return true;
 }
 
 static void restore_searcher(fault_t *fault)
 {
-    lab_searcher_t *standin = fault->searcher->standin;
-    standin->behaviour = LAB_ANSWERS;
-    standin->delay_ms = 5;
-    standin->idle_reset_ms = 0;
-    standin->connections_max = 0;
-    fault->searcher->is_faulty = false;
-    soak_log(fault->s, "%s is well", standin->id);
+    lab_searcher_t *fake = fault->searcher->fake;
+    fake->behaviour = LAB_ANSWERS;
+    fake->delay_ms = 5;
+    fake->idle_reset_ms = 0;
+    fake->connections_max = 0;
+    fault->searcher->has_fault = false;
+    soak_log(fault->s, "%s is well", fake->id);
 }
 
 static bool crash_searcher(fault_t *fault)
 {
-    lab_searcher_t *standin = choose_searcher(fault->s)->standin;
-    if (standin->has_crashed)
+    lab_searcher_t *fake = choose_searcher(fault->s)->fake;
+    if (fake->has_crashed)
         return false;
-    lab_searcher_crash(standin, NULL);
+    lab_searcher_crash(fake, NULL);
     return true;
 }
 
@@ -347,14 +346,14 @@
     soak_log(fault->s, "store: well");
 }
 
-static bool begin_restore(fault_t *fault)
+static bool prepare_restore(fault_t *fault)
 {
-    return soak_begin_restore(fault->s);
+    return soak_prepare_restore(fault->s);
 }
 
-static void end_restore(fault_t *fault)
+static void restore_after_outage(fault_t *fault)
 {
-    soak_end_restore(fault->s);
+    soak_restore_after_outage(fault->s);
 }
 
 static bool drop_history(fault_t *fault)
@@ -365,9 +364,9 @@
     return true;
 }
 
-static bool configure(fault_t *fault)
+static bool publish_configuration(fault_t *fault)
 {
-    soak_configure(fault->s);
+    soak_publish_configuration(fault->s);
     return true;
 }
 
@@ -403,9 +402,9 @@
     {"foreign entry", 3, write_foreign_entry, NULL, 0},
     {"fatal request", 3, begin_fatal_request, end_fatal_request, FATAL_REQUEST_EXTRA_MS},
     {"store", 2, disturb_store, restore_store_mode, 0},
-    {"older copy", 2, begin_restore, end_restore, 0},
+    {"older copy", 2, prepare_restore, restore_after_outage, 0},
     {"history", 1, drop_history, NULL, 0},
-    {"configuration", 5, configure, NULL, 0},
+    {"configuration", 5, publish_configuration, NULL, 0},
     {"evacuation", 2, evacuate, end_evacuation, EVACUATION_EXTRA_MS},
 };
 
@@ -414,10 +413,10 @@
     unsigned total = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(kinds); i++)
         total += kinds[i].weight;
-    unsigned at = (unsigned)random_between(s, 0, (gint32)total);
+    unsigned drawn = (unsigned)random_between(s, 0, (gint32)total);
     size_t i = 0;
-    for (; at >= kinds[i].weight; i++)
-        at -= kinds[i].weight;
+    for (; drawn >= kinds[i].weight; i++)
+        drawn -= kinds[i].weight;
     return &kinds[i];
 }
 
@@ -461,7 +460,7 @@
 static void begin_next_fault(uv_timer_t *timer)
 {
     soak_t *s = timer->data;
-    if (s->is_draining)
+    if (s->is_load_ended)
         return;
     begin_fault(s);
     uv_timer_start(timer, begin_next_fault, (uint64_t)random_between(s, GAP_MIN_MS, GAP_MAX_MS), 0);
--- a/lab/soak_restore.c
+++ b/lab/soak_restore.c
@@ -60,7 +60,7 @@
     uv_close((uv_handle_t *)timer, (uv_close_cb)g_free);
 }
 
-bool soak_begin_restore(soak_t *s)
+bool soak_prepare_restore(soak_t *s)
 {
     if (s->store_faults > 0)
         return false;
@@ -70,7 +70,7 @@
     return true;
 }
 
-void soak_end_restore(soak_t *s)
+void soak_restore_after_outage(soak_t *s)
 {
     static const lab_store_mode_t modes[] = {LAB_STORE_UNAVAILABLE, LAB_STORE_SILENT};
     uv_timer_t *timer = g_new0(uv_timer_t, 1);
--- a/lab/soak_tenants.c
+++ b/lab/soak_tenants.c
@@ -36,15 +36,15 @@
     return g_strdup_printf("key-of-%s-%lu", names[tenant], (unsigned long)version);
 }
 
-char *soak_compose_tenants(uint64_t version, bool is_planted)
+char *soak_compose_tenants(uint64_t version, bool simulates_bugs)
 {
     GString *out = g_string_new(NULL);
     for (int i = 0; i < TENANT_COUNT; i++) {
-        bool is_limited = i == TENANT_LIMITED && !is_planted;
+        bool is_limited = i == TENANT_LIMITED && !simulates_bugs;
         char *key = compose_key(i, version);
         g_string_append_printf(
             out, "%s{\"%s\":\"%s%s\",\"%s\":[\"%s\"],\"%s\":0,\"%s\":%d,\"%s\":%d}",
-            i > 0 ? "," : "", FIELD_NAME, names[i], is_planted && i == TENANT_FREE ? "-2" : "",
+            i > 0 ? "," : "", FIELD_NAME, names[i], simulates_bugs && i == TENANT_FREE ? "-2" : "",
             FIELD_KEYS, key, FIELD_PRIORITY, FIELD_RATE, is_limited ? LIMIT_RATE : 0, FIELD_BURST,
             is_limited ? LIMIT_BURST : 0);
         g_free(key);
@@ -54,53 +54,54 @@
 
 static soak_tenant_t choose_tenant(soak_t *s)
 {
-    gint32 at = g_rand_int_range(s->random, 0, 100);
-    if (at < LIMITED_PERCENT)
+    gint32 percent = g_rand_int_range(s->random, 0, 100);
+    if (percent < LIMITED_PERCENT)
         return TENANT_LIMITED;
-    return at < LIMITED_PERCENT + CHANGING_PERCENT ? TENANT_CHANGING : TENANT_FREE;
+    return percent < LIMITED_PERCENT + CHANGING_PERCENT ? TENANT_CHANGING : TENANT_FREE;
 }
 
-char *soak_choose_credentials(soak_t *s, soak_request_record_t *record, bool is_open,
-                              bool must_pass)
+char *soak_choose_credentials(soak_t *s, soak_request_record_t *record, bool without_key,
+                              bool must_be_accepted)
 {
     static const char forged[] = NAME_TENANT ": forged\r\n";
     record->tenant = TENANT_NONE;
-    if (is_open)
+    if (without_key)
         return g_strdup(forged);
-    record->tenant = must_pass ? TENANT_FREE : choose_tenant(s);
+    record->tenant = must_be_accepted ? TENANT_FREE : choose_tenant(s);
     uint64_t version = s->version;
     bool is_old_key = record->tenant == TENANT_CHANGING && version > 1 &&
                       g_rand_int_range(s->random, 0, 100) < REVOKED_PERCENT;
     record->version = version;
     record->has_old_key = is_old_key;
     record->is_revoked = is_old_key && ts_clock_now_us() > s->version_written_us + APPLY_US;
-    record->is_key_due = !is_old_key && ts_clock_now_us() > s->version_written_us + APPLY_US;
+    record->must_accept_key = !is_old_key && ts_clock_now_us() > s->version_written_us + APPLY_US;
     char *key = compose_key(record->tenant, is_old_key ? version - 1 : version);
     char *fields = g_strdup_printf("%s: Bearer %s\r\n%s", NAME_AUTHORIZATION, key, forged);
     g_free(key);
     return fields;
 }
 
-void soak_check_tenant(soak_t *s, const lab_searcher_t *standin, const ts_http_message_t *request)
+void soak_check_tenant(soak_t *s, const lab_searcher_t *fake, const ts_http_message_t *request)
 {
     const char *id = ts_http_message_find(request, NAME_REQUEST_ID);
     const soak_request_record_t *record =
         id == NULL ? NULL : g_hash_table_lookup(s->request_records, id);
     if (record == NULL)
         return; // reported as UNASKED by handle_request
-    const char *shown = ts_http_message_find(request, NAME_TENANT);
-    const char *wanted = record->tenant == TENANT_NONE ? NULL : names[record->tenant];
-    if (g_strcmp0(shown, wanted) != 0 || ts_http_message_count(request, NAME_TENANT) > 1)
-        soak_report_violation(s, "TENANT", "%s got %s as of tenant %s, it is of %s", standin->id,
-                              id, shown == NULL ? "none" : shown, wanted == NULL ? "none" : wanted);
+    const char *tenant = ts_http_message_find(request, NAME_TENANT);
+    const char *expected = record->tenant == TENANT_NONE ? NULL : names[record->tenant];
+    if (g_strcmp0(tenant, expected) != 0 || ts_http_message_count(request, NAME_TENANT) > 1)
+        soak_report_violation(s, "TENANT", "%s got %s as of tenant %s, it is of %s", fake->id, id,
+                              tenant == NULL ? "none" : tenant,
+                              expected == NULL ? "none" : expected);
     if (ts_http_message_find(request, NAME_AUTHORIZATION) != NULL)
-        soak_report_violation(s, "KEY_SHOWN", "%s got the key of %s", standin->id, id);
-    if (record->is_revoked && soak_is_fault_free(record->node, ts_clock_now_us()))
+        soak_report_violation(s, "KEY_SHOWN", "%s got the key of %s", fake->id, id);
+    if (record->is_revoked && soak_node_is_fault_free(record->node, ts_clock_now_us()))
         soak_report_violation(s, "REVOKED", "%s got %s of %s, whose key had been taken away",
-                              standin->id, id, record->node->name);
+                              fake->id, id, record->node->name);
 }
 
-void soak_record_run(soak_t *s, const soak_request_record_t *record, bool is_first)
+void soak_record_limited_run(soak_t *s, const soak_request_record_t *record, bool is_first)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     if (is_first && record->tenant == TENANT_LIMITED)
@@ -108,20 +109,20 @@
 }
 
 void soak_check_rejection(soak_t *s, const soak_request_record_t *record, const char *id,
-                          const ts_http_message_t *answer, bool was_fault_free)
+                          const ts_http_message_t *response, bool was_fault_free)
 {
-    unsigned status = answer->parser.status_code;
+    unsigned status = response->parser.status_code;
     bool is_changing = record->tenant == TENANT_CHANGING;
     bool is_superseded = s->version != record->version; // a newer version has revoked the key since
     bool may_be_rejected = is_changing && (record->has_old_key || is_superseded ||
-                                           !record->is_key_due || !was_fault_free);
+                                           !record->must_accept_key || !was_fault_free);
     if (status == 401 && !may_be_rejected)
         soak_report_violation(s, "KEY_REFUSED", "%s does not know the key of %s",
                               record->node->name, id);
     if (status == 429 && record->tenant != TENANT_LIMITED)
         soak_report_violation(s, "LIMIT_REFUSED", "%s refused %s, whose tenant has no limit",
                               record->node->name, id);
-    if (status == 429 && ts_http_message_find(answer, NAME_RETRY_AFTER) == NULL)
+    if (status == 429 && ts_http_message_find(response, NAME_RETRY_AFTER) == NULL)
         soak_report_violation(s, "RETRY_AFTER", "%s refused %s without a time to come back",
                               record->node->name, id);
 }
--- a/lab/soak_world.c
+++ b/lab/soak_world.c
@@ -95,14 +95,14 @@
     ts_time_us_t now_us = ts_clock_now_us();
     soak_t *s = searcher->soak;
     unsigned zone = searcher->replica % ZONES + 1;
-    if (record->is_placed && zone != 1)
+    if (record->is_region_restricted && zone != 1)
         soak_report_violation(s, "HOME", "request %s of %s reached %s in zone %u", id,
-                              record->node->name, searcher->standin->id, zone);
+                              record->node->name, searcher->fake->id, zone);
     if (s->evacuated_zone == zone && now_us - s->evacuated_us > EVACUATION_US &&
-        soak_is_fault_free(record->node, now_us))
+        soak_node_is_fault_free(record->node, now_us))
         soak_report_violation(s, "EVAC",
                               "request %s of %s reached %s %lu ms after its zone's evacuation", id,
-                              record->node->name, searcher->standin->id,
+                              record->node->name, searcher->fake->id,
                               (unsigned long)((now_us - s->evacuated_us) / TS_US_PER_MS));
 }
 
@@ -119,15 +119,15 @@
     if (!is_cold || !is_link_undisturbed)
         return;
     g_array_append_val(searcher->arrivals, now_us);
-    unsigned arrivals = soak_arrivals_within(searcher->arrivals, TS_US_PER_S);
+    unsigned arrivals = soak_count_last_window(searcher->arrivals, TS_US_PER_S);
     if (arrivals > COLD_REQUESTS_MAX)
         soak_report_violation(searcher->soak, "FAILBACK",
                               "%s got %u requests in a second while it was cold",
-                              searcher->standin->id, arrivals);
+                              searcher->fake->id, arrivals);
 }
 
 // Records a request that a searcher has received and runs all checks of arrivals.
-static void handle_request(void *ctx, lab_searcher_t *standin, const char *request_id, bool runs)
+static void handle_request(void *ctx, lab_searcher_t *fake, const char *request_id, bool runs)
 {
     soak_searcher_t *searcher = ctx;
     soak_t *s = searcher->soak;
@@ -135,45 +135,45 @@
     soak_request_record_t *record =
         request_id == NULL ? NULL : g_hash_table_lookup(s->request_records, request_id);
     if (record == NULL) {
-        soak_report_violation(s, "UNASKED", "%s got request %s that nobody sent", standin->id,
+        soak_report_violation(s, "UNASKED", "%s got request %s that nobody sent", fake->id,
                               request_id == NULL ? "without an id" : request_id);
         return;
     }
     soak_check_fatal_arrival(s, record, request_id);
-    soak_record_run(s, record, runs && record->runs == 0);
+    soak_record_limited_run(s, record, runs && record->runs == 0);
     record->runs += runs;
     if (runs && record->runs > 1 && !record->is_repeatable)
         soak_report_violation(s, "TWICE", "request %s of %s ran again at %s", request_id,
-                              record->node->name, standin->id);
+                              record->node->name, fake->id);
     if (runs && record->was_refused && !record->is_repeatable)
         soak_report_violation(s, "REFUSED", "request %s ran at %s after its refusal", request_id,
-                              standin->id);
+                              fake->id);
     uint64_t bit = 1ULL << searcher->service;
     if ((record->services & bit) != 0)
         g_array_append_val(s->budgets[searcher->service].extra_arrivals, now_us);
     record->services |= bit;
     ts_time_us_t drain_us = DRAIN_MS * TS_US_PER_MS;
     if (searcher->draining_since_us != 0 && now_us - searcher->draining_since_us > drain_us &&
-        soak_is_fault_free(record->node, now_us))
+        soak_node_is_fault_free(record->node, now_us))
         soak_report_violation(
             s, "DRAIN", "request %s reached %s %lu ms after it began to drain", request_id,
-            standin->id, (unsigned long)((now_us - searcher->draining_since_us) / TS_US_PER_MS));
+            fake->id, (unsigned long)((now_us - searcher->draining_since_us) / TS_US_PER_MS));
     check_zone(searcher, record, request_id);
     check_cold(searcher);
 }
 
-static void compose(void *ctx, lab_searcher_t *standin, const char *request_id, GString *body)
+static void compose(void *ctx, lab_searcher_t *fake, const char *request_id, GString *body)
 {
-    soak_compose_body(standin->service, request_id, body);
+    soak_compose_body(fake->service, request_id, body);
 }
 
-static void handle_message(void *ctx, lab_searcher_t *standin, const ts_http_message_t *request)
+static void handle_message(void *ctx, lab_searcher_t *fake, const ts_http_message_t *request)
 {
     const soak_searcher_t *searcher = ctx;
-    soak_check_tenant(searcher->soak, standin, request);
+    soak_check_tenant(searcher->soak, fake, request);
 }
 
-static void handle_searcher_crash(void *ctx, lab_searcher_t *standin, const char *request_id)
+static void handle_searcher_crash(void *ctx, lab_searcher_t *fake, const char *request_id)
 {
     soak_handle_crash(ctx, request_id);
 }
@@ -192,15 +192,14 @@
 
 static void register_searcher(soak_t *s, const soak_searcher_t *searcher, bool is_draining)
 {
-    char *key = g_strdup_printf(KEY_INSTANCES "%s", searcher->standin->id);
-    char *entry =
-        g_strdup_printf("{\"%s\":\"%s\",\"%s\":\"%s\",\"%s\":\"%s\",\"%s\":4,"
-                        "\"%s\":\"%s\",\"%s\":%u,\"%s\":%" PRIu64 "}",
-                        FIELD_SERVICE, searcher->standin->service, FIELD_ADDRESS,
-                        searcher->link.address, FIELD_ZONE, searcher->standin->zone, FIELD_SLOTS,
-                        FIELD_STATE, is_draining ? WORD_DRAINING : WORD_READY, FIELD_WARMUP_MS,
-                        s->options.is_planted ? 0 : warmup_left_ms(searcher), FIELD_BORN,
-                        searcher->standin->born_ms);
+    char *key = g_strdup_printf(KEY_INSTANCES "%s", searcher->fake->id);
+    char *entry = g_strdup_printf(
+        "{\"%s\":\"%s\",\"%s\":\"%s\",\"%s\":\"%s\",\"%s\":4,"
+        "\"%s\":\"%s\",\"%s\":%u,\"%s\":%" PRIu64 "}",
+        FIELD_SERVICE, searcher->fake->service, FIELD_ADDRESS, searcher->link.address, FIELD_ZONE,
+        searcher->fake->zone, FIELD_SLOTS, FIELD_STATE, is_draining ? WORD_DRAINING : WORD_READY,
+        FIELD_WARMUP_MS, s->options.simulates_bugs ? 0 : warmup_left_ms(searcher), FIELD_BORN,
+        searcher->fake->born_ms);
     lab_store_put(s->store, key, entry);
     g_free(entry);
     g_free(key);
@@ -214,26 +213,26 @@
     char id[32];
     char zone[8];
     if (previous == NULL)
-        g_snprintf(id, sizeof(id), "i-%u", ++s->searchers_made);
+        g_snprintf(id, sizeof(id), "i-%u", ++s->searchers_created);
     else
         g_strlcpy(id, previous->id, sizeof(id));
     g_snprintf(zone, sizeof(zone), "z%u", replica % ZONES + 1);
     searcher->soak = s;
     searcher->service = service;
     searcher->replica = replica;
-    searcher->standin = lab_searcher_open(&s->loop, id, soak_service_name(service), zone);
+    searcher->fake = lab_searcher_open(&s->loop, id, soak_service_name(service), zone);
     if (previous != NULL)
-        searcher->standin->born_ms = previous->born_ms + INCARNATION_GAP_MS;
+        searcher->fake->born_ms = previous->born_ms + INCARNATION_GAP_MS;
     searcher->arrivals = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
     // started_us is set before the initial searchers are added, so these are cold as well.
     searcher->cold_since_us = s->started_us != 0 ? ts_clock_now_us() : 0;
-    searcher->standin->ops = &searcher_ops;
-    searcher->standin->ctx = searcher;
-    searcher->standin->delay_ms = 5;
-    searcher->standin->crash_target = SOAK_FATAL_TEXT;
+    searcher->fake->ops = &searcher_ops;
+    searcher->fake->ctx = searcher;
+    searcher->fake->delay_ms = 5;
+    searcher->fake->crash_target = SOAK_FATAL_TEXT;
     s->searchers[service][replica] = searcher;
     g_hash_table_insert(s->instances, g_strdup(id), (gpointer)soak_service_name(service));
-    if (!open_link(s, &searcher->link, "127.0.0.1", searcher->standin->port))
+    if (!open_link(s, &searcher->link, "127.0.0.1", searcher->fake->port))
         return false;
     register_searcher(s, searcher, false);
     return true;
@@ -241,7 +240,7 @@
 
 static void deregister_searcher(soak_t *s, const soak_searcher_t *searcher)
 {
-    char *key = g_strdup_printf(KEY_INSTANCES "%s", searcher->standin->id);
+    char *key = g_strdup_printf(KEY_INSTANCES "%s", searcher->fake->id);
     lab_store_delete(s->store, key);
     g_free(key);
 }
@@ -258,9 +257,9 @@
     if (!keeps_id || g_rand_boolean(s->random))
         deregister_searcher(s, searcher);
     if (is_latest &&
-        add_searcher(s, searcher->service, searcher->replica, keeps_id ? searcher->standin : NULL))
-        soak_log(s, "%s has ended, %s comes%s", searcher->standin->id,
-                 s->searchers[searcher->service][searcher->replica]->standin->id,
+        add_searcher(s, searcher->service, searcher->replica, keeps_id ? searcher->fake : NULL))
+        soak_log(s, "%s has ended, %s comes%s", searcher->fake->id,
+                 s->searchers[searcher->service][searcher->replica]->fake->id,
                  keeps_id ? ", its next life" : "");
     uv_close((uv_handle_t *)restart_timer, NULL);
 }
@@ -300,10 +299,10 @@
     if (!add_searcher(s, service, replica, NULL))
         return;
     old->draining_since_us = ts_clock_now_us();
-    if (!s->options.is_planted)
+    if (!s->options.simulates_bugs)
         register_searcher(s, old, true);
-    soak_log(s, "%s drains, %s takes its place in service %s", old->standin->id,
-             s->searchers[service][replica]->standin->id, soak_service_name(service));
+    soak_log(s, "%s drains, %s takes its place in service %s", old->fake->id,
+             s->searchers[service][replica]->fake->id, soak_service_name(service));
 }
 
 // -- Evacuations
@@ -318,7 +317,7 @@
     char *key = evacuation_key(zone);
     s->evacuated_zone = zone;
     s->evacuated_us = ts_clock_now_us();
-    if (!s->options.is_planted)
+    if (!s->options.simulates_bugs)
         lab_store_put(s->store, key, "{}");
     soak_log(s, "zone z%u is evacuated", zone);
     g_free(key);
@@ -370,7 +369,7 @@
     return g_string_free(out, FALSE);
 }
 
-static char *compose_routes(uint64_t version, bool is_planted)
+static char *compose_routes(uint64_t version, bool simulates_bugs)
 {
     GString *out = g_string_new(NULL);
     unsigned first = soak_first_shard(version);
@@ -381,7 +380,7 @@
                         soak_service_name(first), soak_service_name(first + 1),
                         soak_service_name(first + 2), FIELD_TOP, SOAK_TOP_RECORDS, FIELD_COVERAGE);
     char *placed =
-        g_strdup_printf("%s%s", service, is_planted ? "" : ",\"" FIELD_REGIONS "\":[\"r1\"]");
+        g_strdup_printf("%s%s", service, simulates_bugs ? "" : ",\"" FIELD_REGIONS "\":[\"r1\"]");
     char *marker = g_strdup_printf("/v%lu/", (unsigned long)version);
     append_route(out, "forward", "/forward/", true, service);
     append_route(out, "once", "/once/", false, service);
@@ -395,20 +394,20 @@
     return g_string_free(out, FALSE);
 }
 
-void soak_configure(soak_t *s)
+void soak_publish_configuration(soak_t *s)
 {
     s->version++;
     s->version_written_us = ts_clock_now_us();
-    char *routes = compose_routes(s->version, s->options.is_planted);
+    char *routes = compose_routes(s->version, s->options.simulates_bugs);
     char *services = compose_services();
-    char *tenants = soak_compose_tenants(s->version, s->options.is_planted);
+    char *tenants = soak_compose_tenants(s->version, s->options.simulates_bugs);
     char *text =
         g_strdup_printf("{\"%s\":%lu,\"%s\":[%s],\"%s\":[%s],\"%s\":[%s],\"%s\":{\"%s\":8192,"
                         "\"%s\":65536,\"%s\":3000,\"%s\":15000}}",
                         FIELD_VERSION, (unsigned long)s->version, FIELD_ROUTES, routes,
                         FIELD_SERVICES, services, FIELD_TENANTS, tenants, FIELD_LIMITS,
                         FIELD_HEAD_BYTES, FIELD_BODY_BYTES, FIELD_HEAD_MS, FIELD_IDLE_MS);
-    if (!s->options.is_planted || s->version == 1)
+    if (!s->options.simulates_bugs || s->version == 1)
         lab_store_put(s->store, KEY_CONFIG, text);
     soak_log(s, "version %lu", (unsigned long)s->version);
     g_free(text);
@@ -419,7 +418,7 @@
 
 // -- Gateways
 
-bool soak_is_fault_free(const soak_node_t *node, ts_time_us_t now_us)
+bool soak_node_is_fault_free(const soak_node_t *node, ts_time_us_t now_us)
 {
     const soak_t *s = node->soak;
     return node->is_running && node->active_faults == 0 && s->store_faults == 0 &&
@@ -427,7 +426,7 @@
            now_us - s->store_fault_changed_us > CONTACT_US;
 }
 
-void soak_count_node_fault(soak_node_t *node, int faults)
+void soak_node_count_fault(soak_node_t *node, int faults)
 {
     node->active_faults = (unsigned)((int)node->active_faults + faults);
     node->fault_changed_us = ts_clock_now_us();
@@ -462,7 +461,7 @@
     const soak_t *s = node->soak;
     GString *seeds = g_string_new(NULL);
     for (unsigned i = 0; i < MIN(s->options.nodes, 3); i++)
-        g_string_append_printf(seeds, "%s'%s'", i > 0 ? ", " : "", s->nodes[i].peers.address);
+        g_string_append_printf(seeds, "%s'%s'", i > 0 ? ", " : "", s->nodes[i].peers_link.address);
     char *text = g_strdup_printf(
         "name: %s\nzone: %s\ndialect: platform\ncallers: %s:%u\nready: %s:%u\npeers: %s:%u\n"
         "advertised: %s\nseeds: [%s]\nstore: %s\n"
@@ -471,9 +470,9 @@
         "warmup_overrun: %.1f\nwarmup_slack: %d\n" SOAK_QUOTA_SETTINGS
         "log_format: json\nlog_level: info\n%s",
         node->name, node->zone, node->ip, node->callers_port, node->ip, node->ready_port, node->ip,
-        node->peers_port, node->peers.address, seeds->str, node->store.address, DRAIN_MS, GRACE_MS,
-        RETRY_RATIO, RETRY_SLACK, WARMUP_OVERRUN, WARMUP_SLACK,
-        s->options.is_planted ? "without: [quarantine]\n" : "");
+        node->peers_port, node->peers_link.address, seeds->str, node->store_link.address, DRAIN_MS,
+        GRACE_MS, RETRY_RATIO, RETRY_SLACK, WARMUP_OVERRUN, WARMUP_SLACK,
+        s->options.simulates_bugs ? "without: [quarantine]\n" : "");
     g_file_set_contents(node->settings_path, text, -1, NULL);
     g_free(text);
     g_string_free(seeds, TRUE);
@@ -544,8 +543,8 @@
     node->callers_port = lab_next_port(node->ip);
     node->ready_port = lab_next_port(node->ip);
     node->peers_port = lab_next_port(node->ip);
-    return open_link(s, &node->store, "127.0.0.1", s->store_port) &&
-           open_link(s, &node->peers, node->ip, node->peers_port);
+    return open_link(s, &node->store_link, "127.0.0.1", s->store_port) &&
+           open_link(s, &node->peers_link, node->ip, node->peers_port);
 }
 
 static bool open_store(soak_t *s)
@@ -568,7 +567,7 @@
     }
     for (unsigned i = 0; i < s->options.nodes && is_open; i++)
         is_open = open_node(s, i);
-    soak_configure(s);
+    soak_publish_configuration(s);
     for (unsigned i = 0; i < s->options.nodes && is_open; i++) {
         write_settings(&s->nodes[i]);
         is_open = soak_node_start(&s->nodes[i]);
--- a/lab/standin_searcher.c
+++ b/lab/standin_searcher.c
@@ -414,13 +414,13 @@
         return NULL;
     }
     const char *text = g_ptr_array_index(searcher->requests, searcher->requests->len - 1);
-    char *wanted = g_strdup_printf("\r\n%s: ", name);
-    const char *found = strstr(text, wanted);
+    char *field_start = g_strdup_printf("\r\n%s: ", name);
+    const char *found = strstr(text, field_start);
     char *value = NULL;
     if (found != NULL) {
-        found += strlen(wanted);
+        found += strlen(field_start);
         value = g_strndup(found, strcspn(found, "\r\n"));
     }
-    g_free(wanted);
+    g_free(field_start);
     return value;
 }
--- a/tests/lab/test_ports.c
+++ b/tests/lab/test_ports.c
@@ -1,7 +1,8 @@
 /**
- * Ports of test programs that run in parallel. If programs only check that a port is free and close
- * it again before they listen on it, two can choose the same one. With six programs in parallel,
- * gateways failed with "an address cannot be listened on" in two of six runs on a busy machine.
+ * Ports of test programs that run in parallel. A program that binds a socket to find a free port,
+ * closes it and listens on the port later can be given the same port as another program. With six
+ * programs in parallel, gateways failed with "an address cannot be listened on" in two of six runs
+ * on a busy machine.
  */
 #include "../test_support.h"
 
@@ -15,7 +16,8 @@
 #define PORTS_PER_PROGRAM 150
 #define PORTS_END 65536
 
-/* Writes allocated ports to `ports_fd`, then waits until the other end of `exit_fd` is closed. */
+/* Writes allocated ports to `ports_fd`, then waits until the other end of `exit_fd` is closed, so
+ * that the ports of all programs stay reserved until all have been read. */
 static void allocate_ports(int ports_fd, int exit_fd)
 {
     char end = 0;
@@ -28,12 +30,12 @@
     _exit(EXIT_SUCCESS);
 }
 
-static void test_programs_at_once_get_other_ports(void **state)
+static void test_parallel_programs_get_distinct_ports(void **state)
 {
     static unsigned counts[PORTS_END];
     int ports_fd[2];
     int exit_fd[2];
-    unsigned twice = 0;
+    unsigned duplicates = 0;
     assert_int_equal(pipe(ports_fd), 0);
     assert_int_equal(pipe(exit_fd), 0);
     for (unsigned i = 0; i < PROGRAMS; i++) {
@@ -46,16 +48,16 @@
         unsigned port = 0;
         assert_int_equal(read(ports_fd[0], &port, sizeof(port)), sizeof(port));
         assert_in_range(port, 1, PORTS_END - 1);
-        twice += ++counts[port] > 1;
+        duplicates += ++counts[port] > 1;
     }
     close(exit_fd[1]);
     for (unsigned i = 0; i < PROGRAMS; i++)
         (void)wait(NULL);
-    assert_int_equal(twice, 0);
+    assert_int_equal(duplicates, 0);
 }
 
-/* A program that needs more ports than a block has reserves further blocks. */
-static void test_ports_do_not_run_out(void **state)
+/* A program that uses up its block of ports (100, see lab/ports.c) reserves another one. */
+static void test_further_blocks_are_reserved(void **state)
 {
     unsigned last = 0;
     for (unsigned i = 0; i < 1000; i++) {
@@ -68,8 +70,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_programs_at_once_get_other_ports),
-        cmocka_unit_test(test_ports_do_not_run_out),
+        cmocka_unit_test(test_parallel_programs_get_distinct_ports),
+        cmocka_unit_test(test_further_blocks_are_reserved),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/lab/test_soak_checks.c
+++ b/tests/lab/test_soak_checks.c
@@ -32,9 +32,9 @@
 
 static const char *check(const char *signatures, const GString *body)
 {
-    soak_gathered_t answer = {"r7", signatures, 1, body->str, body->len};
+    soak_gathered_t response = {"r7", signatures, 1, body->str, body->len};
     uint64_t services = 0;
-    const char *error = soak_check_gathered(&answer, service_of, NULL, &services);
+    const char *error = soak_check_gathered(&response, service_of, NULL, &services);
     if (error == NULL)
         assert_int_equal(services, 3);
     return error;
@@ -65,7 +65,7 @@
     g_string_free(body, TRUE);
 }
 
-static void add(GArray *times, unsigned count, ts_time_us_t begin_us, ts_time_us_t step_us)
+static void append_times(GArray *times, unsigned count, ts_time_us_t begin_us, ts_time_us_t step_us)
 {
     for (unsigned i = 0; i < count; i++) {
         ts_time_us_t at_us = begin_us + i * step_us;
@@ -77,12 +77,12 @@
 {
     soak_budget_log_t log = {g_array_new(FALSE, FALSE, sizeof(ts_time_us_t)),
                              g_array_new(FALSE, FALSE, sizeof(ts_time_us_t))};
-    add(log.requests, 100, 100 * SECOND, SECOND / 10); /* 10 per second for 10 s */
-    add(log.extra_arrivals, 24, 105 * SECOND, SECOND / 5);
+    append_times(log.requests, 100, 100 * SECOND, SECOND / 10); /* 10 per second for 10 s */
+    append_times(log.extra_arrivals, 24, 105 * SECOND, SECOND / 5);
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 5) <= 0);
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 3) > 0);
     /* no request in any of the windows considered */
-    add(log.extra_arrivals, 10, 130 * SECOND, SECOND / 100);
+    append_times(log.extra_arrivals, 10, 130 * SECOND, SECOND / 100);
     assert_true(soak_budget_excess(&log, 10 * SECOND, 0.2, 9) > 0);
     g_array_unref(log.requests);
     g_array_unref(log.extra_arrivals);
@@ -92,17 +92,17 @@
 static void test_arrivals_of_a_second(void **state)
 {
     GArray *arrivals = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
-    assert_int_equal(soak_arrivals_within(arrivals, SECOND), 0);
+    assert_int_equal(soak_count_last_window(arrivals, SECOND), 0);
     for (ts_time_us_t at_us = 10 * SECOND; at_us <= 12 * SECOND; at_us += SECOND / 4)
         g_array_append_val(arrivals, at_us);
-    assert_int_equal(soak_arrivals_within(arrivals, SECOND), 4);
+    assert_int_equal(soak_count_last_window(arrivals, SECOND), 4);
     ts_time_us_t more_us = 12 * SECOND + 1;
     g_array_append_val(arrivals, more_us);
-    assert_int_equal(soak_arrivals_within(arrivals, SECOND), 5);
+    assert_int_equal(soak_count_last_window(arrivals, SECOND), 5);
     g_array_unref(arrivals);
 }
 
-static void test_most_within_a_window(void **state)
+static void test_max_within_a_window(void **state)
 {
     GArray *times = g_array_new(FALSE, FALSE, sizeof(ts_time_us_t));
     assert_int_equal(soak_max_within(times, SECOND), 0);
@@ -120,7 +120,7 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_arrivals_of_a_second),
-        cmocka_unit_test(test_most_within_a_window),
+        cmocka_unit_test(test_max_within_a_window),
         cmocka_unit_test(test_right_answer_passes),
         cmocka_unit_test(test_wrong_answers_are_seen),
         cmocka_unit_test(test_budget_in_sliding_windows),
