--- a/lab/child.c
+++ b/lab/child.c
@@ -1,4 +1,4 @@
-/** A child process whose end is waited for on a thread. */
+/** Child processes that are waited for on a separate thread. */
 #include "child.h"
 
 #include <errno.h>
@@ -10,13 +10,13 @@
 #include <unistd.h>
 
 struct lab_child {
-    uv_async_t noticed;
-    lab_child_ended_t ended;
+    uv_async_t exit_async;
+    lab_child_exit_cb_t on_exit;
     void *ctx;
     GMutex lock;
     pid_t pid;
-    bool has_ended; /* its pid may be another's soon */
-    lab_child_end_t end;
+    bool has_exited; /* the pid may be reused from now on */
+    lab_child_exit_t result;
 };
 
 static void free_child(uv_handle_t *handle)
@@ -26,45 +26,44 @@
     g_free(child);
 }
 
-static void notice_end(uv_async_t *async)
+static void dispatch_exit(uv_async_t *async)
 {
     lab_child_t *child = async->data;
-    child->ended(child->ctx, &child->end);
+    child->on_exit(child->ctx, &child->result);
     uv_close((uv_handle_t *)async, free_child);
 }
 
-/* Frees what the kernel keeps of the process. */
 static void reap(pid_t pid)
 {
     while (waitpid(pid, NULL, 0) < 0 && errno == EINTR)
         ;
 }
 
-static lab_child_end_t read_end(const siginfo_t *info)
+static lab_child_exit_t make_exit_result(const siginfo_t *info)
 {
     bool has_exited = info->si_code == CLD_EXITED;
-    return (lab_child_end_t){.status = has_exited ? info->si_status : 0,
-                             .signal = has_exited ? 0 : info->si_status,
-                             .ended_us = ts_clock_now_us()};
+    return (lab_child_exit_t){.status = has_exited ? info->si_status : 0,
+                              .signal = has_exited ? 0 : info->si_status,
+                              .ended_us = ts_clock_now_us()};
 }
 
-static gpointer await_end(gpointer data)
+static gpointer wait_for_exit(gpointer data)
 {
     lab_child_t *child = data;
     pid_t pid = child->pid;
     siginfo_t info;
     while (waitid(P_PID, (id_t)pid, &info, WEXITED | WNOWAIT) < 0 && errno == EINTR)
         ;
-    child->end = read_end(&info);
+    child->result = make_exit_result(&info);
     g_mutex_lock(&child->lock);
-    child->has_ended = true;
+    child->has_exited = true;
     g_mutex_unlock(&child->lock);
-    uv_async_send(&child->noticed); // the loop frees the child after this
+    uv_async_send(&child->exit_async); // the loop may free the child from now on
     reap(pid);
     return NULL;
 }
 
-/* Starts the program with all signals as they are by default. */
+/* Starts the program with default signal dispositions. */
 static bool spawn(lab_child_t *child, char *const *arguments, char *const *environment, int output)
 {
     posix_spawn_file_actions_t files;
@@ -85,26 +84,26 @@
 }
 
 lab_child_t *lab_child_start(uv_loop_t *loop, char *const *arguments, char *const *environment,
-                             int output, lab_child_ended_t ended, void *ctx)
+                             int output, lab_child_exit_cb_t on_exit, void *ctx)
 {
     lab_child_t *child = g_new0(lab_child_t, 1);
-    child->ended = ended;
+    child->on_exit = on_exit;
     child->ctx = ctx;
     if (!spawn(child, arguments, environment, output)) {
         g_free(child);
         return NULL;
     }
     g_mutex_init(&child->lock);
-    uv_async_init(loop, &child->noticed, notice_end);
-    child->noticed.data = child;
-    g_thread_unref(g_thread_new("child", await_end, child));
+    uv_async_init(loop, &child->exit_async, dispatch_exit);
+    child->exit_async.data = child;
+    g_thread_unref(g_thread_new("child", wait_for_exit, child));
     return child;
 }
 
 void lab_child_kill(lab_child_t *child, int number)
 {
     g_mutex_lock(&child->lock);
-    if (!child->has_ended)
+    if (!child->has_exited)
         kill(child->pid, number);
     g_mutex_unlock(&child->lock);
 }
--- a/lab/faults.c
+++ b/lab/faults.c
@@ -83,7 +83,7 @@
 
 static void signal_node(const armed_fault_t *armed, int number)
 {
-    lab_node_t *node = lab_fleet_node(armed->fleet, armed->fault->target);
+    lab_node_t *node = lab_fleet_find_node(armed->fleet, armed->fault->target);
     if (node->process.is_running) {
         uv_process_kill(&node->process.handle, number);
     }
@@ -105,19 +105,19 @@
 
 static void kill_target(const armed_fault_t *armed)
 {
-    lab_node_t *node = lab_fleet_node(armed->fleet, armed->fault->target);
+    lab_node_t *node = lab_fleet_find_node(armed->fleet, armed->fault->target);
     if (node == NULL) {
         control_backend(armed, "{\"state\": \"dead\"}");
         return;
     }
-    node->process.is_expected_to_end = true;
+    node->process.is_exit_expected = true;
     note_disturbance(armed);
     signal_node(armed, SIGKILL);
 }
 
 static void start_target(const armed_fault_t *armed)
 {
-    lab_node_t *node = lab_fleet_node(armed->fleet, armed->fault->target);
+    lab_node_t *node = lab_fleet_find_node(armed->fleet, armed->fault->target);
     if (node == NULL) {
         control_backend(armed, "{\"state\": \"serving\"}");
     } else if (!node->process.is_running) {
@@ -129,14 +129,14 @@
 
 static void publish(const armed_fault_t *armed, char *text)
 {
-    lab_published_t published = {lab_config_version(text), ts_clock_now_us()};
+    lab_published_t published = {lab_config_parse_version(text), ts_clock_now_us()};
     lab_fleet_publish(armed->fleet, text);
     g_array_append_val(armed->log->published, published);
 }
 
 static void publish_change(const armed_fault_t *armed)
 {
-    uint64_t version = lab_config_version(armed->fleet->config_text) + 1;
+    uint64_t version = lab_config_parse_version(armed->fleet->config_text) + 1;
     publish(armed, lab_config_with_version(armed->fleet->config_text, version));
 }
 
@@ -148,7 +148,7 @@
 /* A higher version that every node must refuse: a selector reaches a group that nobody declares. */
 static void show_bad(const armed_fault_t *armed)
 {
-    uint64_t version = lab_config_version(armed->fleet->config_text) + 1;
+    uint64_t version = lab_config_parse_version(armed->fleet->config_text) + 1;
     char *text = lab_config_with_version(armed->fleet->config_text, version);
     char *bad = g_strconcat(text, "  - {kind: bad, groups: [service=nobody], wait: deadline, ",
                             "deadline_ms: 100, least_coverage_percent: 50}\n", NULL);
@@ -210,7 +210,7 @@
     set_shards(fleet, first, both);
     set_shards(fleet, second, both);
     g_free(both);
-    uint64_t version = lab_config_version(fleet->config_text) + 1;
+    uint64_t version = lab_config_parse_version(fleet->config_text) + 1;
     char *exchanged = exchange_shards(fleet->config_text, armed->fault->target, armed->fault->to);
     publish(armed, lab_config_with_version(exchanged, version));
     g_free(exchanged);
@@ -356,11 +356,11 @@
     switch (fault->type) {
     case LAB_FAULT_KILL:
     case LAB_FAULT_START:
-        return lab_fleet_node(fleet, fault->target) != NULL ||
+        return lab_fleet_find_node(fleet, fault->target) != NULL ||
                find_backend(fleet, fault->target) != NULL;
     case LAB_FAULT_PAUSE:
     case LAB_FAULT_STOP:
-        return lab_fleet_node(fleet, fault->target) != NULL;
+        return lab_fleet_find_node(fleet, fault->target) != NULL;
     case LAB_FAULT_PARTITION:
         return fault->target != NULL &&
                (strcmp(fault->target, "*") == 0 ||
--- a/lab/fleet.c
+++ b/lab/fleet.c
@@ -1,4 +1,4 @@
-/** A fleet of real processes. */
+/** Setup, processes and shutdown of a fleet. */
 #include "fleet.h"
 
 #include <errno.h>
@@ -21,15 +21,15 @@
 #define PEERS_PORT 20201
 #define PLATFORM_PORT 20000
 #define PROXY_PORT 20900
-#define PROXY_OFFSET 100
-#define FIRST_NODE 10
-#define SOAK_NETWORK 77 /* second number of the soak's addresses */
+#define PROXY_HOST_OFFSET 100
+#define FIRST_NODE_HOST 10
+#define SOAK_NETWORK 77 /* second octet of the addresses that the soak test uses */
 #define ARGUMENTS_MAX 32
 #define STOP_SECONDS 20.0
 #define POLL_MS 10
 #define CONFIG_VERSION_PATTERN "(?m)^version: *[0-9]+"
 
-uint64_t lab_config_version(const char *text)
+uint64_t lab_config_parse_version(const char *text)
 {
     const char *line = strstr(text, "\nversion:");
     line = line == NULL ? strstr(text, "version:") : line + 1;
@@ -50,13 +50,14 @@
 {
     g_free(fleet->config_text);
     fleet->config_text = text;
-    /* GLib replaces the file as a whole: the platform never reads half of it */
+    /* g_file_set_contents replaces the file atomically, so the platform never reads a partial one
+     */
     g_file_set_contents(fleet->config_path, text, -1, NULL);
 }
 
 /* ---- files ---- */
 
-static char *in_directory(const lab_fleet_t *fleet, const char *name, const char *suffix)
+static char *make_path(const lab_fleet_t *fleet, const char *name, const char *suffix)
 {
     return g_strdup_printf("%s/%s%s", fleet->directory, name, suffix);
 }
@@ -66,7 +67,7 @@
     return g_strdup_printf("%s.%u:%u", fleet->base, host, port);
 }
 
-/* Puts one deadline in the place of every kind's; takes the text and gives another. */
+/* Overrides the deadline of all kinds; frees `text` and returns a new string. */
 static char *set_deadlines(char *text, uint32_t deadline_ms)
 {
     GRegex *regex = g_regex_new("deadline_ms: *[0-9]+", 0, 0, NULL);
@@ -101,7 +102,7 @@
         ts_problems_print(&problems, path);
     }
     fleet->first_config = g_strdup(text);
-    fleet->config_path = in_directory(fleet, "config", ".yaml");
+    fleet->config_path = make_path(fleet, "config", ".yaml");
     lab_fleet_publish(fleet, text);
     ts_problems_clear(&problems);
     return fleet->declarations != NULL;
@@ -109,7 +110,7 @@
 
 static void write_node_settings(const lab_fleet_t *fleet, lab_node_t *node)
 {
-    node->settings_path = in_directory(fleet, node->process.name, ".yaml");
+    node->settings_path = make_path(fleet, node->process.name, ".yaml");
     char *text = g_strdup_printf("name: %s\ncluster: lab\nzone: %s\ncallers: %s\noperators: %s\n"
                                  "peers: %s\nadvertise: %s\nplatform: %s\npolicy: %s\n"
                                  "log_level: info\n",
@@ -128,14 +129,14 @@
     node->callers = make_address(fleet, host, CALLERS_PORT);
     node->operators = make_address(fleet, host, OPERATORS_PORT);
     node->peers = make_address(fleet, host, PEERS_PORT);
-    node->advertise = make_address(fleet, has_proxy ? host + PROXY_OFFSET : host, PEERS_PORT);
+    node->advertise = make_address(fleet, has_proxy ? host + PROXY_HOST_OFFSET : host, PEERS_PORT);
     write_node_settings(fleet, node);
     g_ptr_array_add(fleet->nodes, node);
 }
 
 static void add_nodes(lab_fleet_t *fleet)
 {
-    unsigned host = FIRST_NODE;
+    unsigned host = FIRST_NODE_HOST;
     for (unsigned z = 0; z < fleet->declarations->zones_count; z++) {
         for (unsigned i = 1; i <= fleet->scenario->nodes_per_zone; i++) {
             add_node(fleet, fleet->declarations->zones[z].name, i, host++);
@@ -143,7 +144,7 @@
     }
 }
 
-static void write_machines(const lab_fleet_t *fleet)
+static void write_machine_list(const lab_fleet_t *fleet)
 {
     json_t *rows = json_array();
     for (guint i = 0; i < fleet->nodes->len; i++) {
@@ -153,13 +154,13 @@
                                               "state", "live"));
     }
     json_t *root = json_pack("{s:o}", "machines", rows);
-    char *path = in_directory(fleet, "machines", ".json");
+    char *path = make_path(fleet, "machines", ".json");
     json_dump_file(root, path, JSON_INDENT(1));
     g_free(path);
     json_decref(root);
 }
 
-static const char *region_of(const lab_fleet_t *fleet, const char *zone)
+static const char *find_region(const lab_fleet_t *fleet, const char *zone)
 {
     int index = ts_declarations_zone_index(fleet->declarations, zone);
     return fleet->declarations->zones[index].region;
@@ -177,10 +178,10 @@
         const lab_node_t *node = g_ptr_array_index(fleet->nodes, i);
         g_string_append_printf(text,
                                "  - {name: %s, zone: %s, region: %s, listen: '%s', target: '%s'}\n",
-                               node->process.name, node->zone, region_of(fleet, node->zone),
+                               node->process.name, node->zone, find_region(fleet, node->zone),
                                node->advertise, node->peers);
     }
-    char *path = in_directory(fleet, "proxy", ".yaml");
+    char *path = make_path(fleet, "proxy", ".yaml");
     g_file_set_contents(path, text->str, -1, NULL);
     g_free(path);
     g_string_free(text, TRUE);
@@ -207,7 +208,7 @@
     g_free(folder);
 }
 
-/* What an earlier run left in the directory must not be read as this one's. */
+/* Removes output of an earlier run, so that it is not read as output of this run. */
 static void remove_old_files(const lab_fleet_t *fleet)
 {
     GDir *folder = g_dir_open(fleet->directory, 0, NULL);
@@ -215,7 +216,7 @@
     while (folder != NULL && (name = g_dir_read_name(folder)) != NULL) {
         bool is_ours = g_str_has_suffix(name, ".journal") || g_str_has_suffix(name, ".log") ||
                        g_str_has_suffix(name, ".err") || g_str_has_suffix(name, ".json");
-        char *path = in_directory(fleet, name, "");
+        char *path = make_path(fleet, name, "");
         if (is_ours) {
             unlink(path);
         }
@@ -226,15 +227,15 @@
     }
 }
 
-/* Two runs in one directory would overwrite each other's settings. */
+/* Prevents two runs in one directory from overwriting each other's settings. */
 static bool lock_directory(const lab_fleet_t *fleet)
 {
-    char *path = in_directory(fleet, "run", ".lock");
-    int file = open(path, O_CREAT | O_WRONLY | O_CLOEXEC, 0644); /* held until the process ends */
+    char *path = make_path(fleet, "run", ".lock");
+    int file = open(path, O_CREAT | O_WRONLY | O_CLOEXEC, 0644); /* open until the process exits */
     bool is_locked = file >= 0 && flock(file, LOCK_EX | LOCK_NB) == 0;
     if (!is_locked)
-        fprintf(stderr, "%s: another run uses this directory (%s)\n", fleet->directory,
-                g_strerror(errno));
+        fprintf(stderr, "%s: cannot lock; is another run using this directory? (%s)\n",
+                fleet->directory, g_strerror(errno));
     g_free(path);
     return is_locked;
 }
@@ -242,7 +243,7 @@
 bool lab_fleet_prepare(lab_fleet_t *fleet, const char *declarations_path)
 {
     pid_t pid = getpid();
-    /* A loopback network of its own, so that runs side by side never share an address. */
+    /* The network is derived from the pid, so that concurrent runs do not share addresses. */
     int second = 1 + pid / 250 % 250;
     second += second >= SOAK_NETWORK;
     fleet->base = g_strdup_printf("127.%d.%d", second, 1 + pid % 250);
@@ -259,22 +260,22 @@
         fleet->proxy_control = make_address(fleet, 1, PROXY_PORT);
     }
     add_nodes(fleet);
-    write_machines(fleet);
+    write_machine_list(fleet);
     write_proxy_settings(fleet);
     return true;
 }
 
 /* ---- processes ---- */
 
-static void note_exit(uv_process_t *handle, int64_t status, int signal_number)
+static void handle_exit(uv_process_t *handle, int64_t status, int signal_number)
 {
     lab_process_t *process = handle->data;
     process->is_running = false;
     process->exit_status = status;
     process->signal = signal_number;
-    if ((status != 0 || signal_number != 0) && !process->is_expected_to_end) {
-        process->bad_ends++;
-        fprintf(stderr, "%s ended with exit code %lld, signal %d\n", process->name,
+    if ((status != 0 || signal_number != 0) && !process->is_exit_expected) {
+        process->failed_exits++;
+        fprintf(stderr, "%s exited unexpectedly: status %lld, signal %d\n", process->name,
                 (long long)status, signal_number);
     }
     uv_close((uv_handle_t *)handle, NULL);
@@ -283,9 +284,9 @@
 bool lab_fleet_spawn(lab_fleet_t *fleet, lab_process_t *process, char **arguments,
                      const char *output, uv_exit_cb on_exit)
 {
-    char *path = in_directory(fleet, output, "");
+    char *path = make_path(fleet, output, "");
     char *error_path = g_strdup_printf("%s.err", path);
-    int file = open(path, O_CREAT | O_WRONLY | O_APPEND, 0644); /* after what lives before wrote */
+    int file = open(path, O_CREAT | O_WRONLY | O_APPEND, 0644); /* keeps earlier incarnations */
     int errors = open(error_path, O_CREAT | O_WRONLY | O_APPEND, 0644);
     g_free(error_path);
     g_free(path);
@@ -295,7 +296,7 @@
     uv_process_options_t options = {
         .file = arguments[0],
         .args = arguments,
-        .exit_cb = on_exit == NULL ? note_exit : on_exit,
+        .exit_cb = on_exit == NULL ? handle_exit : on_exit,
         .stdio_count = 3,
         .stdio = stdio,
     };
@@ -304,14 +305,14 @@
     close(file);
     close(errors);
     process->is_running = status == 0;
-    process->is_expected_to_end = false;
+    process->is_exit_expected = false;
     if (status != 0) {
-        fprintf(stderr, "%s: %s\n", arguments[0], uv_strerror(status));
+        fprintf(stderr, "cannot start %s: %s\n", arguments[0], uv_strerror(status));
     }
     return status == 0;
 }
 
-static bool start_other(lab_fleet_t *fleet, const char *name, char **arguments)
+static bool start_helper_process(lab_fleet_t *fleet, const char *name, char **arguments)
 {
     lab_process_t *process = g_new0(lab_process_t, 1);
     process->name = g_strdup(name);
@@ -335,7 +336,7 @@
 {
     const lab_scenario_t *scenario = fleet->scenario;
     char *name = g_strdup_printf("searchers-%s", zone);
-    char *journal = in_directory(fleet, name, ".journal");
+    char *journal = make_path(fleet, name, ".journal");
     char seed[32];
     char mean[32];
     char sigma[32];
@@ -365,7 +366,7 @@
                          "--factor",
                          factor,
                          NULL};
-    bool is_started = start_other(fleet, name, arguments);
+    bool is_started = start_helper_process(fleet, name, arguments);
     g_free(journal);
     g_free(name);
     return is_started;
@@ -373,11 +374,11 @@
 
 static bool start_platform(lab_fleet_t *fleet)
 {
-    char *machines = in_directory(fleet, "machines", ".json");
+    char *machines = make_path(fleet, "machines", ".json");
     char *arguments[] = {fleet->lab_program, "platform", "--address",
                          fleet->platform,    "--config", fleet->config_path,
                          "--machines",       machines,   NULL};
-    bool is_started = start_other(fleet, "platform", arguments);
+    bool is_started = start_helper_process(fleet, "platform", arguments);
     g_free(machines);
     return is_started;
 }
@@ -387,9 +388,9 @@
     if (fleet->proxy_control == NULL) {
         return true;
     }
-    char *settings = in_directory(fleet, "proxy", ".yaml");
+    char *settings = make_path(fleet, "proxy", ".yaml");
     char *arguments[] = {fleet->lab_program, "fault-proxy", "--settings", settings, NULL};
-    bool is_started = start_other(fleet, "proxy", arguments);
+    bool is_started = start_helper_process(fleet, "proxy", arguments);
     g_free(settings);
     return is_started;
 }
@@ -406,7 +407,7 @@
     return is_started;
 }
 
-lab_node_t *lab_fleet_node(const lab_fleet_t *fleet, const char *name)
+lab_node_t *lab_fleet_find_node(const lab_fleet_t *fleet, const char *name)
 {
     for (guint i = 0; name != NULL && i < fleet->nodes->len; i++) {
         lab_node_t *node = g_ptr_array_index(fleet->nodes, i);
@@ -419,7 +420,8 @@
 
 /* ---- waiting and stopping ---- */
 
-static void wake_loop(uv_timer_t *timer)
+/* Empty: the timer only makes uv_run return, so that `is_done` is polled. */
+static void ignore_tick(uv_timer_t *timer)
 {
 }
 
@@ -429,7 +431,7 @@
     ts_time_us_t ends_us = ts_clock_now_us() + (ts_time_us_t)(seconds * (double)TS_US_PER_S);
     uv_timer_t timer;
     uv_timer_init(fleet->loop, &timer);
-    uv_timer_start(&timer, wake_loop, POLL_MS, POLL_MS);
+    uv_timer_start(&timer, ignore_tick, POLL_MS, POLL_MS);
     bool done = is_done(context);
     while (!done && !fleet->is_interrupted && ts_clock_now_us() < ends_us) {
         uv_run(fleet->loop, UV_RUN_ONCE);
@@ -440,7 +442,7 @@
     return done;
 }
 
-static bool are_nodes_gone(void *context)
+static bool have_nodes_exited(void *context)
 {
     const lab_fleet_t *fleet = context;
     for (guint i = 0; i < fleet->nodes->len; i++) {
@@ -451,7 +453,7 @@
     return true;
 }
 
-static bool are_others_gone(void *context)
+static bool have_helpers_exited(void *context)
 {
     const lab_fleet_t *fleet = context;
     for (guint i = 0; i < fleet->processes->len; i++) {
@@ -469,7 +471,7 @@
     }
 }
 
-static void signal_all(lab_fleet_t *fleet, int number)
+static void signal_nodes(lab_fleet_t *fleet, int number)
 {
     for (guint i = 0; i < fleet->nodes->len; i++) {
         signal_process(&((lab_node_t *)g_ptr_array_index(fleet->nodes, i))->process, number);
@@ -479,19 +481,19 @@
 unsigned lab_fleet_stop(lab_fleet_t *fleet)
 {
     unsigned failed = 0;
-    fleet->is_interrupted = false; /* the stop itself is waited for */
-    signal_all(fleet, SIGCONT);
-    signal_all(fleet, SIGTERM);
-    if (!lab_run_until(fleet, are_nodes_gone, fleet, STOP_SECONDS)) {
-        signal_all(fleet, SIGKILL);
-        lab_run_until(fleet, are_nodes_gone, fleet, STOP_SECONDS);
+    fleet->is_interrupted = false; /* otherwise the waits below would return at once */
+    signal_nodes(fleet, SIGCONT);
+    signal_nodes(fleet, SIGTERM);
+    if (!lab_run_until(fleet, have_nodes_exited, fleet, STOP_SECONDS)) {
+        signal_nodes(fleet, SIGKILL);
+        lab_run_until(fleet, have_nodes_exited, fleet, STOP_SECONDS);
     }
     for (guint i = 0; i < fleet->nodes->len; i++) {
-        failed += ((lab_node_t *)g_ptr_array_index(fleet->nodes, i))->process.bad_ends;
+        failed += ((lab_node_t *)g_ptr_array_index(fleet->nodes, i))->process.failed_exits;
     }
     for (guint i = 0; i < fleet->processes->len; i++) {
         signal_process(g_ptr_array_index(fleet->processes, i), SIGTERM);
     }
-    lab_run_until(fleet, are_others_gone, fleet, STOP_SECONDS);
+    lab_run_until(fleet, have_helpers_exited, fleet, STOP_SECONDS);
     return failed;
 }
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -1,6 +1,6 @@
 /**
- * A fleet of real processes on loopback addresses of its own: the platform, the fault proxy, one
- * process of searchers a zone, and the nodes.
+ * A fleet of real processes on a separate loopback network: the platform stand-in, the fault proxy,
+ * one searcher process per zone, and the nodes.
  */
 #ifndef TEALSPAR_LAB_FLEET_H
 #define TEALSPAR_LAB_FLEET_H
@@ -12,18 +12,17 @@
 #include "tealspar/clock.h"
 #include "tealspar/declarations.h"
 
-/** One process. */
 typedef struct lab_process {
     char *name;
     uv_process_t handle;
     bool is_running;
-    bool is_expected_to_end; /**< this life of it was killed on purpose */
+    bool is_exit_expected; /**< the current incarnation was killed by a fault */
     int64_t exit_status;
     int signal;
-    unsigned bad_ends; /**< lives that ended by a signal or with an error, not on purpose */
+    unsigned failed_exits; /**< unexpected exits with a signal or a nonzero status */
 } lab_process_t;
 
-/** One node and its addresses. */
+/** A node process and its addresses. */
 typedef struct lab_node {
     lab_process_t process;
     char *zone;
@@ -38,43 +37,51 @@
     uv_loop_t *loop;
     const lab_scenario_t *scenario;
     const char *policy;
-    const char *directory; /**< where files, logs and journals go */
+    const char *directory; /**< output directory for settings, logs and journals */
     uint64_t seed;
-    char *base;    /**< first three numbers of the addresses, "127.A.B" */
-    char *program; /**< path of tealspar */
-    char *lab_program;
+    char *base;        /**< first three octets of all addresses, "127.A.B" */
+    char *program;     /**< path of tealspar */
+    char *lab_program; /**< path of tealspar-lab */
     char *config_path;
-    char *config_text;               /**< newest declarations */
-    char *first_config;              /**< the first, for a stale platform */
-    ts_declarations_t *declarations; /**< the first, parsed */
+    char *config_text;               /**< latest declarations */
+    char *first_config;              /**< initial declarations, served by a stale platform */
+    ts_declarations_t *declarations; /**< initial declarations, parsed */
     char *platform;
-    char *proxy_control;  /**< NULL when the fleet has no proxy */
+    char *proxy_control;  /**< control address of the fault proxy; NULL without a proxy */
     GPtrArray *nodes;     /**< of lab_node_t */
-    GPtrArray *processes; /**< of lab_process_t, others */
-    bool is_interrupted;  /**< the run was told to end: stop everything */
+    GPtrArray *processes; /**< of lab_process_t: platform, proxy, searchers */
+    bool is_interrupted;  /**< SIGTERM or SIGINT received: lab_run_until returns at once */
 } lab_fleet_t;
 
-/** Prepares files and addresses; false with a message on standard error. */
+/** Writes settings files and assigns addresses; on failure prints a message and returns false. */
 bool lab_fleet_prepare(lab_fleet_t *fleet, const char *declarations_path);
-/** Starts everything. */
+/** Starts all processes. */
 bool lab_fleet_start(lab_fleet_t *fleet);
-/** Starts one node's process. */
 bool lab_fleet_start_node(lab_fleet_t *fleet, lab_node_t *node);
-/** Starts a program; its output goes to DIRECTORY/OUTPUT, its errors to DIRECTORY/OUTPUT.err. */
+/**
+ * Starts a program with stdout appended to DIRECTORY/OUTPUT and stderr to DIRECTORY/OUTPUT.err.
+ * `on_exit` may be NULL: the exit is then recorded in `process`.
+ */
 bool lab_fleet_spawn(lab_fleet_t *fleet, lab_process_t *process, char **arguments,
                      const char *output, uv_exit_cb on_exit);
-/** Finds a node by name, or NULL. */
-lab_node_t *lab_fleet_node(const lab_fleet_t *fleet, const char *name);
-/** Writes a new version of the declarations for the platform to serve; takes the text. */
+/** Returns the node with this name, or NULL. */
+lab_node_t *lab_fleet_find_node(const lab_fleet_t *fleet, const char *name);
+/** Publishes declarations through the platform; takes ownership of `text`. */
 void lab_fleet_publish(lab_fleet_t *fleet, char *text);
-/** Version in a text of declarations. */
-uint64_t lab_config_version(const char *text);
-/** The text with another version; the caller frees it. */
+/** Reads the version field of declarations in YAML; 0 if absent. */
+uint64_t lab_config_parse_version(const char *text);
+/** Returns a copy of the declarations with `version` as version field; the caller frees it. */
 char *lab_config_with_version(const char *text, uint64_t version);
-/** Runs the loop until `is_done` says so or the time is over; returns what `is_done` said last. */
+/**
+ * Runs the loop until `is_done` returns true, `seconds` have passed or the run is interrupted.
+ * Returns the last result of `is_done`.
+ */
 bool lab_run_until(lab_fleet_t *fleet, bool (*is_done)(void *context), void *context,
                    double seconds);
-/** Ends every process. Nodes are stopped politely first; returns how many failed to exit 0. */
+/**
+ * Stops all processes: nodes first, with SIGTERM and, after a time limit, SIGKILL. Returns the
+ * number of failed node exits during the run and the stop.
+ */
 unsigned lab_fleet_stop(lab_fleet_t *fleet);
 
 #endif
--- a/lab/fuzz.c
+++ b/lab/fuzz.c
@@ -131,7 +131,7 @@
 
 /* ---- what the simulator tells ---- */
 
-static void note_ran(void *context, const lab_sim_run_t *ran)
+static void note_ran(void *context, const lab_sim_execution_t *ran)
 {
     run_t *run = context;
     request_t *request = g_hash_table_lookup(run->requests, ran->request_id);
@@ -168,12 +168,12 @@
 static void check_answered(run_t *run, const request_t *request, const ts_answer_t *answer)
 {
     lab_violations_t violations = {0};
-    lab_told_t told;
+    lab_answer_summary_t told;
     char *text = ts_caller_json_write(answer, NULL);
     json_t *root = json_loads(text, 0, NULL);
-    lab_asked_t asked = {run->declarations,
-                         ts_declarations_selector(run->declarations, request->kind), request->id,
-                         request->text, true};
+    lab_query_spec_t asked = {run->declarations,
+                              ts_declarations_selector(run->declarations, request->kind),
+                              request->id, request->text, true};
     lab_check_answer(&asked, root, &told, &violations);
     if (violations.mixed_snapshot > 0 || violations.false_coverage > 0 ||
         violations.wrong_answer > 0) {
@@ -348,7 +348,7 @@
 static void heal(run_t *run)
 {
     for (unsigned zone = 0; zone < ZONES; zone++) {
-        lab_sim_cut(run->sim, zone, false);
+        lab_sim_partition_zone(run->sim, zone, false);
     }
     for (unsigned node = 0; node < NODES; node++) {
         lab_sim_isolate(run->sim, node, false);
@@ -396,7 +396,7 @@
         break;
     }
     case LAB_ACTION_CUT:
-        lab_sim_cut(run->sim, action->a % ZONES, true);
+        lab_sim_partition_zone(run->sim, action->a % ZONES, true);
         run->is_cut = true;
         break;
     case LAB_ACTION_ISOLATE:
@@ -407,8 +407,8 @@
         heal(run);
         break;
     case LAB_ACTION_SEARCHER:
-        lab_sim_set_searcher(run->sim, action->a % SEARCHERS,
-                             (lab_sim_searcher_state_t)(action->b % 4));
+        lab_sim_set_searcher_state(run->sim, action->a % SEARCHERS,
+                                   (lab_sim_searcher_state_t)(action->b % 4));
         break;
     case LAB_ACTION_SLOW:
         lab_sim_slow_searcher(run->sim, action->a % SEARCHERS,
@@ -445,7 +445,7 @@
         .network_ms = 0.2,
         .zone_ms = 1,
         .drop_percent = 0.5,
-        .double_percent = 0.5,
+        .duplicate_percent = 0.5,
         .jitter = 3,
         .service = {2, 0.5, 1, {10, 50}},
         .seed = seed,
@@ -488,7 +488,7 @@
     for (unsigned node = 0; node < NODES; node++) {
         was_running[node] = lab_sim_is_running(run->sim, node);
     }
-    lab_sim_run(run->sim, span_us);
+    lab_sim_advance(run->sim, span_us);
     note_ended(run, was_running);
     check_overdue(run);
 }
@@ -508,7 +508,7 @@
 {
     run_t run = {0};
     open_run(&run, seed);
-    lab_sim_run(run.sim, SETTLE_US);
+    lab_sim_advance(run.sim, SETTLE_US);
     for (guint i = 0; i < actions->len && !run.finding.is_broken; i++) {
         const lab_action_t *action = &g_array_index(actions, lab_action_t, i);
         pass_time(&run, action->after_ms * TS_US_PER_MS);
--- a/lab/hollow.c
+++ b/lab/hollow.c
@@ -1,13 +1,13 @@
-/** Hollow fleets. */
+/** Hollow fleets: simulated network, nodes and virtual clock. */
 #include "hollow.h"
 
 #include <glib.h>
 #include <string.h>
 
-#define SLOTS 8192U /* milliseconds that a message may be on its way, at most */
+#define SLOT_COUNT 8192U /* slots of 1 ms; longer delays are clamped */
 #define TICK_MS (TS_MEMBERSHIP_TICK_US / TS_US_PER_MS)
 #define PERCENT 100.0
-#define FETCH_MS 20 /* a configuration heard of is fetched and checked in this time */
+#define FETCH_MS 20 /* simulated time to fetch and validate an announced configuration */
 
 typedef struct hollow_node {
     lab_hollow_t *fleet;
@@ -21,26 +21,26 @@
     uint64_t incarnation;
     uint64_t paused_until_ms;
     uint64_t version;
-    uint64_t wanted_version;
-    uint64_t fetched_at_ms;
+    uint64_t announced_version;
+    uint64_t fetch_done_ms;
     unsigned tick_offset;
     uint64_t sent_bytes;
 } hollow_node_t;
 
-/* A gossip on its way. */
-typedef struct letter {
+/* A gossip message in transit. */
+typedef struct transit_message {
     unsigned from;
     unsigned to;
     uint8_t *bytes;
     size_t length;
-} letter_t;
+} transit_message_t;
 
 struct lab_hollow {
     lab_hollow_config_t config;
     hollow_node_t *nodes;
-    GHashTable *index_by_name; /* name or address -> index + 1 */
-    GPtrArray *slots[SLOTS];   /* of letter_t, by the millisecond they arrive */
-    bool *is_zone_cut;
+    GHashTable *index_by_name;    /* name or address -> index + 1 */
+    GPtrArray *slots[SLOT_COUNT]; /* of transit_message_t, by arrival time in ms */
+    bool *is_zone_partitioned;
     GRand *random;
     uint64_t now_ms;
     lab_hollow_report_t report;
@@ -52,33 +52,34 @@
     return (fleet->now_ms + 1000) * TS_US_PER_MS;
 }
 
-static void free_letter(gpointer pointer)
+static void free_message(gpointer pointer)
 {
-    letter_t *letter = pointer;
-    g_free(letter->bytes);
-    g_free(letter);
+    transit_message_t *message = pointer;
+    g_free(message->bytes);
+    g_free(message);
 }
 
-/* ---- what membership asks of its surroundings ---- */
+/* ---- membership callbacks ---- */
 
-static bool is_cut(const lab_hollow_t *fleet, unsigned from, unsigned to)
+static bool are_partitioned(const lab_hollow_t *fleet, unsigned from, unsigned to)
 {
     unsigned from_zone = fleet->nodes[from].zone;
     unsigned to_zone = fleet->nodes[to].zone;
-    return from_zone != to_zone && (fleet->is_zone_cut[from_zone] || fleet->is_zone_cut[to_zone]);
+    return from_zone != to_zone &&
+           (fleet->is_zone_partitioned[from_zone] || fleet->is_zone_partitioned[to_zone]);
 }
 
-static void post_letter(lab_hollow_t *fleet, letter_t *letter, unsigned delay_ms)
+static void enqueue_message(lab_hollow_t *fleet, transit_message_t *message, unsigned delay_ms)
 {
-    unsigned slot = (unsigned)((fleet->now_ms + MIN(delay_ms, SLOTS - 1)) % SLOTS);
+    unsigned slot = (unsigned)((fleet->now_ms + MIN(delay_ms, SLOT_COUNT - 1)) % SLOT_COUNT);
     if (fleet->slots[slot] == NULL) {
-        fleet->slots[slot] = g_ptr_array_new_with_free_func(free_letter);
+        fleet->slots[slot] = g_ptr_array_new_with_free_func(free_message);
     }
-    g_ptr_array_add(fleet->slots[slot], letter);
+    g_ptr_array_add(fleet->slots[slot], message);
 }
 
-static void send_letter(void *context, const char *name, const char *address, const uint8_t *bytes,
-                        size_t length)
+static void send_message(void *context, const char *name, const char *address, const uint8_t *bytes,
+                         size_t length)
 {
     hollow_node_t *node = context;
     lab_hollow_t *fleet = node->fleet;
@@ -90,52 +91,52 @@
     fleet->report.messages++;
     fleet->report.bytes += length + LAB_MESSAGE_OVERHEAD_BYTES;
     if (fleet->nodes[to].zone != node->zone)
-        fleet->report.zone_bytes += length + LAB_MESSAGE_OVERHEAD_BYTES;
+        fleet->report.cross_zone_bytes += length + LAB_MESSAGE_OVERHEAD_BYTES;
     node->sent_bytes += length + LAB_MESSAGE_OVERHEAD_BYTES;
-    fleet->report.busiest = MAX(fleet->report.busiest, node->sent_bytes);
+    fleet->report.max_node_bytes = MAX(fleet->report.max_node_bytes, node->sent_bytes);
     bool is_dropped = g_rand_double(fleet->random) * PERCENT < fleet->config.drop_percent;
-    if (is_dropped || is_cut(fleet, node->index, to)) {
+    if (is_dropped || are_partitioned(fleet, node->index, to)) {
         return;
     }
-    letter_t *letter = g_new0(letter_t, 1);
-    letter->from = node->index;
-    letter->to = to;
-    letter->bytes = g_memdup2(bytes, length);
-    letter->length = length;
+    transit_message_t *message = g_new0(transit_message_t, 1);
+    message->from = node->index;
+    message->to = to;
+    message->bytes = g_memdup2(bytes, length);
+    message->length = length;
     unsigned hops = fleet->nodes[to].zone == node->zone ? 1 : 2;
-    unsigned most_ms = MAX(1U, fleet->config.delay_ms) * hops;
-    post_letter(fleet, letter, 1 + (unsigned)g_rand_int_range(fleet->random, 0, (int)most_ms));
+    unsigned max_ms = MAX(1U, fleet->config.delay_ms) * hops;
+    enqueue_message(fleet, message, 1 + (unsigned)g_rand_int_range(fleet->random, 0, (int)max_ms));
 }
 
-static void hear_config(void *context, const char *name, const char *address, uint64_t version,
-                        uint64_t digest)
+static void handle_config_announcement(void *context, const char *name, const char *address,
+                                       uint64_t version, uint64_t digest)
 {
     hollow_node_t *node = context;
-    if (version > node->version && version > node->wanted_version) {
-        node->wanted_version = version;
-        node->fetched_at_ms = node->fleet->now_ms + FETCH_MS;
+    if (version > node->version && version > node->announced_version) {
+        node->announced_version = version;
+        node->fetch_done_ms = node->fleet->now_ms + FETCH_MS;
     }
 }
 
-static void ignore_change(void *context)
+static void ignore_view_change(void *context)
 {
 }
 
-static void note_member(void *context, const char *name, ts_member_state_t old,
-                        ts_member_state_t state)
+static void count_false_death(void *context, const char *name, ts_member_state_t old,
+                              ts_member_state_t state)
 {
     hollow_node_t *node = context;
     lab_hollow_t *fleet = node->fleet;
     unsigned index = GPOINTER_TO_UINT(g_hash_table_lookup(fleet->index_by_name, name));
     if (state == TS_MEMBER_DEAD && index != 0 && fleet->nodes[index - 1].is_running &&
-        !is_cut(fleet, node->index, index - 1)) {
+        !are_partitioned(fleet, node->index, index - 1)) {
         fleet->report.false_deaths++;
     }
 }
 
 /* ---- nodes ---- */
 
-static void tell_machines(lab_hollow_t *fleet, hollow_node_t *node)
+static void set_machines(lab_hollow_t *fleet, hollow_node_t *node)
 {
     unsigned seeds = fleet->config.seeds;
     ts_membership_begin_machines(node->membership);
@@ -152,11 +153,12 @@
 
 static void start_node(lab_hollow_t *fleet, hollow_node_t *node)
 {
-    static const ts_membership_ops_t ops = {send_letter, hear_config, ignore_change, note_member};
+    static const ts_membership_ops_t ops = {send_message, handle_config_announcement,
+                                            ignore_view_change, count_false_death};
     node->incarnation = fleet->now_ms + 1;
     node->is_running = true;
     node->version = 0;
-    node->wanted_version = 0;
+    node->announced_version = 0;
     ts_membership_config_t config = {
         .name = node->name,
         .address = node->address,
@@ -165,7 +167,7 @@
         .seed = fleet->config.seed * 7919 + node->index + node->incarnation,
     };
     node->membership = ts_membership_create(&config, &ops, node, now_us(fleet));
-    tell_machines(fleet, node);
+    set_machines(fleet, node);
 }
 
 lab_hollow_t *lab_hollow_create(const lab_hollow_config_t *config)
@@ -173,7 +175,7 @@
     lab_hollow_t *fleet = g_new0(lab_hollow_t, 1);
     fleet->config = *config;
     fleet->nodes = g_new0(hollow_node_t, config->nodes);
-    fleet->is_zone_cut = g_new0(bool, config->zones);
+    fleet->is_zone_partitioned = g_new0(bool, config->zones);
     fleet->index_by_name = g_hash_table_new(g_str_hash, g_str_equal);
     fleet->random = g_rand_new_with_seed((guint32)config->seed);
     for (unsigned i = 0; i < config->nodes; i++) {
@@ -205,14 +207,14 @@
         g_free(node->address);
         g_free(node->zone_name);
     }
-    for (unsigned i = 0; i < SLOTS; i++) {
+    for (unsigned i = 0; i < SLOT_COUNT; i++) {
         if (fleet->slots[i] != NULL) {
             g_ptr_array_free(fleet->slots[i], TRUE);
         }
     }
     g_hash_table_destroy(fleet->index_by_name);
     g_rand_free(fleet->random);
-    g_free(fleet->is_zone_cut);
+    g_free(fleet->is_zone_partitioned);
     g_free(fleet->nodes);
     g_free(fleet);
 }
@@ -239,12 +241,12 @@
     fleet->nodes[index].paused_until_ms = fleet->now_ms + ms;
 }
 
-void lab_hollow_cut(lab_hollow_t *fleet, unsigned zone, bool is_cut_now)
+void lab_hollow_partition_zone(lab_hollow_t *fleet, unsigned zone, bool is_partitioned)
 {
-    fleet->is_zone_cut[zone] = is_cut_now;
+    fleet->is_zone_partitioned[zone] = is_partitioned;
 }
 
-void lab_hollow_configure(lab_hollow_t *fleet, unsigned index, uint64_t version)
+void lab_hollow_set_config_version(lab_hollow_t *fleet, unsigned index, uint64_t version)
 {
     fleet->nodes[index].version = version;
     ts_membership_set_config(fleet->nodes[index].membership, version, version);
@@ -252,26 +254,26 @@
 
 /* ---- time ---- */
 
-static void deliver_letter(lab_hollow_t *fleet, letter_t *letter)
+static void deliver_message(lab_hollow_t *fleet, transit_message_t *message)
 {
-    hollow_node_t *to = &fleet->nodes[letter->to];
-    const hollow_node_t *from = &fleet->nodes[letter->from];
-    if (!to->is_running || is_cut(fleet, letter->from, letter->to)) {
-        free_letter(letter);
+    hollow_node_t *to = &fleet->nodes[message->to];
+    const hollow_node_t *from = &fleet->nodes[message->from];
+    if (!to->is_running || are_partitioned(fleet, message->from, message->to)) {
+        free_message(message);
         return;
     }
     if (to->paused_until_ms > fleet->now_ms) {
-        post_letter(fleet, letter, (unsigned)(to->paused_until_ms - fleet->now_ms) + 1);
+        enqueue_message(fleet, message, (unsigned)(to->paused_until_ms - fleet->now_ms) + 1);
         return;
     }
-    ts_membership_receive(to->membership, from->name, from->address, letter->bytes, letter->length,
-                          now_us(fleet));
-    free_letter(letter);
+    ts_membership_receive(to->membership, from->name, from->address, message->bytes,
+                          message->length, now_us(fleet));
+    free_message(message);
 }
 
 static void deliver_due(lab_hollow_t *fleet)
 {
-    unsigned slot = (unsigned)(fleet->now_ms % SLOTS);
+    unsigned slot = (unsigned)(fleet->now_ms % SLOT_COUNT);
     GPtrArray *due = fleet->slots[slot];
     if (due == NULL) {
         return;
@@ -279,7 +281,7 @@
     fleet->slots[slot] = NULL;
     g_ptr_array_set_free_func(due, NULL);
     for (guint i = 0; i < due->len; i++) {
-        deliver_letter(fleet, g_ptr_array_index(due, i));
+        deliver_message(fleet, g_ptr_array_index(due, i));
     }
     g_ptr_array_free(due, TRUE);
 }
@@ -290,15 +292,15 @@
     if (!node->is_running || is_paused) {
         return;
     }
-    if (node->wanted_version > node->version && node->fetched_at_ms <= fleet->now_ms) {
-        lab_hollow_configure(fleet, node->index, node->wanted_version);
+    if (node->announced_version > node->version && node->fetch_done_ms <= fleet->now_ms) {
+        lab_hollow_set_config_version(fleet, node->index, node->announced_version);
     }
     if (fleet->now_ms % TICK_MS == node->tick_offset) {
         ts_membership_tick(node->membership, now_us(fleet));
     }
 }
 
-void lab_hollow_run(lab_hollow_t *fleet, unsigned ms)
+void lab_hollow_advance(lab_hollow_t *fleet, unsigned ms)
 {
     for (unsigned i = 0; i < ms; i++) {
         fleet->now_ms++;
@@ -309,9 +311,9 @@
     }
 }
 
-/* ---- looking ---- */
+/* ---- inspection ---- */
 
-unsigned lab_hollow_running(const lab_hollow_t *fleet)
+unsigned lab_hollow_count_running(const lab_hollow_t *fleet)
 {
     unsigned running = 0;
     for (unsigned i = 0; i < fleet->config.nodes; i++) {
@@ -335,23 +337,23 @@
     return TS_MEMBER_DEAD;
 }
 
-unsigned lab_hollow_believers(const lab_hollow_t *fleet, unsigned node, ts_member_state_t state)
+unsigned lab_hollow_count_seeing(const lab_hollow_t *fleet, unsigned node, ts_member_state_t state)
 {
-    unsigned believers = 0;
+    unsigned seeing = 0;
     for (unsigned i = 0; i < fleet->config.nodes; i++) {
         if (i == node || !fleet->nodes[i].is_running) {
             continue;
         }
         ts_view_t *view = lab_hollow_view(fleet, i);
-        believers += state_in_view(view, fleet->nodes[node].name) == state;
+        seeing += state_in_view(view, fleet->nodes[node].name) == state;
         ts_view_unref(view);
     }
-    return believers;
+    return seeing;
 }
 
 bool lab_hollow_is_converged(const lab_hollow_t *fleet)
 {
-    unsigned running = lab_hollow_running(fleet);
+    unsigned running = lab_hollow_count_running(fleet);
     for (unsigned i = 0; i < fleet->config.nodes; i++) {
         const hollow_node_t *node = &fleet->nodes[i];
         if (node->is_running && (ts_membership_count(node->membership, TS_MEMBER_LIVE) != running ||
@@ -362,7 +364,7 @@
     return true;
 }
 
-unsigned lab_hollow_configured(const lab_hollow_t *fleet, uint64_t version)
+unsigned lab_hollow_count_configured(const lab_hollow_t *fleet, uint64_t version)
 {
     unsigned count = 0;
     for (unsigned i = 0; i < fleet->config.nodes; i++) {
--- a/lab/hollow.h
+++ b/lab/hollow.h
@@ -1,7 +1,7 @@
 /**
- * Hollow fleets: the real membership code of many nodes in one process, on a virtual clock and a
- * simulated network that delays, drops and cuts. Deterministic by seed. Used by tests and for the
- * scale runs.
+ * Hollow fleets: many nodes in one process that run only the production membership code, on a
+ * virtual clock and a simulated network with delay, loss and partitions. Deterministic for a given
+ * seed. Used by tests and scale runs.
  */
 #ifndef TEALSPAR_LAB_HOLLOW_H
 #define TEALSPAR_LAB_HOLLOW_H
@@ -11,7 +11,7 @@
 
 #include "tealspar/membership.h"
 
-/** Bytes that a message costs beside its gossip: frame head, nng, TCP and IP both ways. */
+/** Bytes per message beyond the gossip: frame header, nng, TCP and IP in both directions. */
 #define LAB_MESSAGE_OVERHEAD_BYTES 160U
 
 typedef struct lab_hollow lab_hollow_t;
@@ -19,48 +19,49 @@
 typedef struct lab_hollow_config {
     unsigned nodes;
     unsigned zones;
-    unsigned delay_ms;   /**< one way within a zone, at most; other zones add as much */
-    double drop_percent; /**< of messages */
+    unsigned delay_ms;   /**< maximum one-way delay within a zone; twice that between zones */
+    double drop_percent; /**< percentage of messages lost */
     uint64_t seed;
-    unsigned seeds; /**< nodes that a starting one knows, by address alone; 0: all, listed */
+    /** Number of seed nodes given to a starting node, by address only; 0: it gets all nodes with
+     * name and zone. */
+    unsigned seeds;
 } lab_hollow_config_t;
 
-/** What a fleet has cost and shown so far. */
+/** Traffic and failure detection since the last reset. */
 typedef struct lab_hollow_report {
     uint64_t messages;
-    uint64_t bytes;        /**< with the overhead */
-    uint64_t zone_bytes;   /**< of these, between zones */
-    uint64_t busiest;      /**< bytes that the busiest node sent */
-    uint64_t false_deaths; /**< a running node declared dead by a running node, once a pair */
-    double seconds;        /**< virtual */
+    uint64_t bytes;            /**< including LAB_MESSAGE_OVERHEAD_BYTES per message */
+    uint64_t cross_zone_bytes; /**< part of `bytes` sent between zones */
+    uint64_t max_node_bytes;   /**< maximum of the bytes sent by any one node */
+    uint64_t false_deaths;     /**< times a node declared a running, reachable node dead */
+    double seconds;            /**< virtual time */
 } lab_hollow_report_t;
 
 lab_hollow_t *lab_hollow_create(const lab_hollow_config_t *config);
 void lab_hollow_destroy(lab_hollow_t *fleet);
-/** Lets virtual time pass. */
-void lab_hollow_run(lab_hollow_t *fleet, unsigned ms);
-/** The process of a node ends: nothing is sent or received any more. */
+/** Advances the virtual clock. */
+void lab_hollow_advance(lab_hollow_t *fleet, unsigned ms);
+/** Simulates a crash: the node no longer sends or receives. */
 void lab_hollow_kill(lab_hollow_t *fleet, unsigned node);
-/** A node starts again under its name, knowing nothing. */
+/** Restarts a node under its old name with empty state. */
 void lab_hollow_start(lab_hollow_t *fleet, unsigned node);
-/** A node stands still for a while; what is sent to it waits. */
+/** Suspends a node; messages to it are delivered when it resumes. */
 void lab_hollow_pause(lab_hollow_t *fleet, unsigned node, unsigned ms);
-/** Cuts a zone from all others, or heals it. */
-void lab_hollow_cut(lab_hollow_t *fleet, unsigned zone, bool is_cut);
-/** A node learns of a new configuration version. */
-void lab_hollow_configure(lab_hollow_t *fleet, unsigned node, uint64_t version);
-/** Running nodes that hold this version or a higher one. */
-unsigned lab_hollow_configured(const lab_hollow_t *fleet, uint64_t version);
-/** Running nodes that believe `node` to be in this state (dead: or do not know it). */
-unsigned lab_hollow_believers(const lab_hollow_t *fleet, unsigned node, ts_member_state_t state);
-/** Whether every running node sees exactly the running nodes as live. */
+/** Partitions a zone from all others, or heals the partition. */
+void lab_hollow_partition_zone(lab_hollow_t *fleet, unsigned zone, bool is_partitioned);
+/** Sets the configuration version of a node. */
+void lab_hollow_set_config_version(lab_hollow_t *fleet, unsigned node, uint64_t version);
+/** Counts running nodes that have this configuration version or a higher one. */
+unsigned lab_hollow_count_configured(const lab_hollow_t *fleet, uint64_t version);
+/** Counts running nodes that see `node` in `state`; an unknown node counts as dead. */
+unsigned lab_hollow_count_seeing(const lab_hollow_t *fleet, unsigned node, ts_member_state_t state);
+/** Whether each running node sees as many live nodes as are running, and no suspects. */
 bool lab_hollow_is_converged(const lab_hollow_t *fleet);
-/** Nodes running now. */
-unsigned lab_hollow_running(const lab_hollow_t *fleet);
-/** The view of one node. */
+unsigned lab_hollow_count_running(const lab_hollow_t *fleet);
+/** Returns a reference to a node's membership view; release it with ts_view_unref. */
 ts_view_t *lab_hollow_view(const lab_hollow_t *fleet, unsigned node);
 lab_hollow_report_t lab_hollow_report(const lab_hollow_t *fleet);
-/** Begins to count messages, bytes and false deaths anew. */
+/** Resets messages, bytes, false deaths and the start of the measured time. */
 void lab_hollow_reset_report(lab_hollow_t *fleet);
 
 #endif
--- a/lab/hollow_command.c
+++ b/lab/hollow_command.c
@@ -1,6 +1,7 @@
 /**
- * `tealspar-lab hollow`: what control costs and how fast it is at a fleet size, by the real
- * membership code of all nodes in one process on a virtual clock.
+ * `tealspar-lab hollow`: measures traffic, CPU, memory and propagation times of the control plane
+ * by fleet size, with the production membership code of all nodes in one process on a virtual
+ * clock.
  */
 #include <jansson.h>
 #include <malloc.h>
@@ -23,68 +24,73 @@
     return (double)clock() / CLOCKS_PER_SEC;
 }
 
-/* Virtual milliseconds until every other node believes a killed node dead. */
-static double measure_death(lab_hollow_t *fleet, unsigned node)
+/* Kills a node; returns the virtual milliseconds until all running nodes see it as dead. */
+static double measure_death_detection_ms(lab_hollow_t *fleet, unsigned node)
 {
     lab_hollow_kill(fleet, node);
     unsigned waited = 0;
     while (waited < WAIT_MS_MAX &&
-           lab_hollow_believers(fleet, node, TS_MEMBER_DEAD) < lab_hollow_running(fleet)) {
-        lab_hollow_run(fleet, STEP_MS);
+           lab_hollow_count_seeing(fleet, node, TS_MEMBER_DEAD) < lab_hollow_count_running(fleet)) {
+        lab_hollow_advance(fleet, STEP_MS);
         waited += STEP_MS;
     }
     return waited;
 }
 
-static double measure_configuration(lab_hollow_t *fleet, uint64_t version)
+/* Virtual milliseconds until a new configuration version has reached all running nodes. */
+static double measure_config_propagation_ms(lab_hollow_t *fleet, uint64_t version)
 {
-    lab_hollow_configure(fleet, 0, version);
+    lab_hollow_set_config_version(fleet, 0, version);
     unsigned waited = 0;
     while (waited < WAIT_MS_MAX &&
-           lab_hollow_configured(fleet, version) < lab_hollow_running(fleet)) {
-        lab_hollow_run(fleet, STEP_MS / 10);
+           lab_hollow_count_configured(fleet, version) < lab_hollow_count_running(fleet)) {
+        lab_hollow_advance(fleet, STEP_MS / 10);
         waited += STEP_MS / 10;
     }
     return waited;
 }
 
-static double measure_join(lab_hollow_t *fleet)
+/* Virtual milliseconds until the membership views of a new fleet have converged. */
+static double measure_join_ms(lab_hollow_t *fleet)
 {
     unsigned waited = 0;
     while (waited < JOIN_MS_MAX && !lab_hollow_is_converged(fleet)) {
-        lab_hollow_run(fleet, STEP_MS);
+        lab_hollow_advance(fleet, STEP_MS);
         waited += STEP_MS;
     }
     return waited;
 }
 
-/* One node in a hundred stands still for less than the bound of self-doubt, once every 10 s. */
-static void run_with_pauses(lab_hollow_t *fleet, unsigned nodes, unsigned seconds, bool pauses)
+/*
+ * With `has_pauses`, suspends one node of every hundred every 10 s for PAUSE_MS, which is below the
+ * limit from which membership treats itself as stalled.
+ */
+static void run_with_pauses(lab_hollow_t *fleet, unsigned nodes, unsigned seconds, bool has_pauses)
 {
     for (unsigned second = 0; second < seconds; second++) {
-        for (unsigned i = 0; pauses && i < nodes; i += 100) {
+        for (unsigned i = 0; has_pauses && i < nodes; i += 100) {
             if ((second + i / 100) % 10 == 0) {
                 lab_hollow_pause(fleet, (i + second) % nodes, PAUSE_MS);
             }
         }
-        lab_hollow_run(fleet, 1000);
+        lab_hollow_advance(fleet, 1000);
     }
 }
 
-static json_t *measure(const lab_hollow_config_t *config, unsigned seconds, bool pauses)
+static json_t *measure(const lab_hollow_config_t *config, unsigned seconds, bool has_pauses)
 {
     size_t heap_before = mallinfo2().uordblks;
     lab_hollow_t *fleet = lab_hollow_create(config);
-    double join_ms = measure_join(fleet);
-    lab_hollow_run(fleet, 10000);
+    double join_ms = measure_join_ms(fleet);
+    lab_hollow_advance(fleet, 10000);
     lab_hollow_reset_report(fleet);
     double cpu_before = cpu_seconds();
-    run_with_pauses(fleet, config->nodes, seconds, pauses);
+    run_with_pauses(fleet, config->nodes, seconds, has_pauses);
     double cpu = cpu_seconds() - cpu_before;
     lab_hollow_report_t report = lab_hollow_report(fleet);
     size_t heap = mallinfo2().uordblks - heap_before;
-    double config_ms = measure_configuration(fleet, 1);
-    double death_ms = measure_death(fleet, config->nodes / 2);
+    double config_ms = measure_config_propagation_ms(fleet, 1);
+    double death_ms = measure_death_detection_ms(fleet, config->nodes / 2);
     double node_seconds = config->nodes * report.seconds;
     json_t *result =
         json_pack("{s:i, s:i, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:I}", "nodes", (int)config->nodes,
@@ -101,17 +107,18 @@
 static int run_hollow(int argc, char **argv)
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
-    struct arg_int *nodes = arg_intn("n", "nodes", "N", 1, 20, "fleet size; may be given again");
-    struct arg_int *zones = arg_int0(NULL, "zones", "N", "zones (8)");
-    struct arg_int *seconds = arg_int0(NULL, "seconds", "S", "virtual time measured (30)");
-    struct arg_dbl *drop = arg_dbl0(NULL, "drop", "PERCENT", "messages lost (0)");
-    struct arg_int *seed = arg_int0(NULL, "seed", "N", "seed (1)");
-    struct arg_lit *pauses = arg_lit0(NULL, "pauses", "1% of nodes stand still for 0.9 s");
+    struct arg_int *nodes = arg_intn("n", "nodes", "N", 1, 20, "fleet size; may be repeated");
+    struct arg_int *zones = arg_int0(NULL, "zones", "N", "number of zones (8)");
+    struct arg_int *seconds = arg_int0(NULL, "seconds", "S", "measured virtual time (30)");
+    struct arg_dbl *drop = arg_dbl0(NULL, "drop", "PERCENT", "message loss (0)");
+    struct arg_int *seed = arg_int0(NULL, "seed", "N", "random seed (1)");
+    struct arg_lit *pauses =
+        arg_lit0(NULL, "pauses", "suspend 1% of the nodes for 0.9 s at a time");
     struct arg_end *end = arg_end(8);
     void *table[TABLE_SIZE] = {help, nodes, zones, seconds, drop, seed, pauses, end};
     int exit_code = TS_EXIT_OK;
     if (ts_command_parse(argc, argv, table, TABLE_SIZE,
-                         "what membership and propagation cost, by fleet size", &exit_code)) {
+                         "measure membership and propagation cost by fleet size", &exit_code)) {
         for (int i = 0; i < nodes->count; i++) {
             lab_hollow_config_t config = {
                 .nodes = (unsigned)nodes->ival[i],
@@ -135,4 +142,4 @@
 
 static const ts_command_t command = {run_hollow};
 TS_REGISTER_PLUGIN(lab_command_hollow, TS_PLUGIN_COMMAND, "hollow", 6, &command,
-                   "what control costs by fleet size, on a virtual clock")
+                   "control-plane cost by fleet size, on a virtual clock")
--- a/lab/load.c
+++ b/lab/load.c
@@ -1,7 +1,7 @@
 /**
- * `tealspar-lab load`: an open-loop load generator. Arrivals are Poisson and do not wait for
- * answers; latency counts from the moment an arrival was due, so that a slow system cannot hide its
- * slowness (no coordinated omission). Every answer is checked against the oracle.
+ * `tealspar-lab load`: an open-loop load generator. Arrivals follow a Poisson process and do not
+ * wait for answers. Latency is counted from the scheduled arrival time, which avoids coordinated
+ * omission. Every answer is checked against the test oracle (load_check.h).
  */
 #include "load.h"
 
@@ -19,7 +19,7 @@
 #define TABLE_SIZE 10
 #define NODES_MAX 200
 #define KINDS_MAX 20
-#define CONNECTIONS_A_NODE 512
+#define CONNECTIONS_PER_NODE 512
 #define HEALTH_PERIOD_MS 200
 #define US_PER_MS_DOUBLE 1000.0
 #define NS_PER_US 1000
@@ -32,13 +32,13 @@
 
 static int arrivals_fd;
 
-static void draw_next(const lab_load_t *load, lab_load_kind_t *kind)
+static void schedule_next_arrival(const lab_load_t *load, lab_load_kind_t *kind)
 {
     double gap_s = gsl_ran_exponential(load->random, 1.0 / kind->rate);
     kind->next_us += (ts_time_us_t)(gap_s * (double)TS_US_PER_S);
 }
 
-static void arm_arrivals(const lab_load_t *load)
+static void arm_arrival_timer(const lab_load_t *load)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     ts_time_us_t due_us = load->ends_us;
@@ -68,15 +68,15 @@
         lab_load_kind_t *kind = g_ptr_array_index(load->kinds, i);
         while (kind->next_us <= now_us) {
             lab_load_send(load, kind, kind->next_us);
-            draw_next(load, kind);
+            schedule_next_arrival(load, kind);
         }
     }
-    arm_arrivals(load);
+    arm_arrival_timer(load);
 }
 
 /* ---- health ---- */
 
-static void take_health(void *context, const ts_http_result_t *result)
+static void handle_health_result(void *context, const ts_http_result_t *result)
 {
     lab_load_node_t *node = context;
     node->is_checking = false;
@@ -95,7 +95,7 @@
         if (!node->is_checking) {
             ts_http_send_t send = {"GET", "/health/ready", NULL, NULL, 0};
             node->is_checking = true;
-            ts_http_call(node->health, &send, take_health, node);
+            ts_http_call(node->health, &send, handle_health_result, node);
         }
     }
 }
@@ -124,7 +124,7 @@
     json_t *kinds = json_object();
     uint64_t totals[5] = {0};
     double coverage_sum = 0;
-    double coverage_least = 1;
+    double coverage_min = 1;
     uint64_t needed = 0;
     for (guint i = 0; i < load->kinds->len; i++) {
         const lab_load_kind_t *kind = g_ptr_array_index(load->kinds, i);
@@ -135,15 +135,15 @@
         totals[3] += kind->lost;
         totals[4] += kind->true_claims;
         coverage_sum += kind->coverage_sum;
-        coverage_least = MIN(coverage_least, kind->coverage_least);
+        coverage_min = MIN(coverage_min, kind->coverage_min);
         needed += (kind->sent - kind->refused) *
                   (kind->selector->route == TS_ROUTE_KEY ? 1 : kind->selector->reach_count);
     }
     double mean = totals[0] == 0 ? 0 : coverage_sum / (double)totals[0];
     json_t *coverage =
-        json_pack("{s:f, s:f, s:I, s:I}", "mean", mean, "min",
-                  totals[0] == 0 ? 0.0 : coverage_least, "true_claims", (json_int_t)totals[4],
-                  "false_claims", (json_int_t)load->violations.false_coverage);
+        json_pack("{s:f, s:f, s:I, s:I}", "mean", mean, "min", totals[0] == 0 ? 0.0 : coverage_min,
+                  "true_claims", (json_int_t)totals[4], "false_claims",
+                  (json_int_t)load->violations.false_coverage);
     json_t *violations =
         json_pack("{s:I, s:I, s:I}", "mixed_snapshot", (json_int_t)load->violations.mixed_snapshot,
                   "false_coverage", (json_int_t)load->violations.false_coverage, "wrong_answer",
@@ -164,16 +164,16 @@
     node->callers = g_strdup(parts[0]);
     node->operators = g_strdup(parts[0] == NULL ? NULL : parts[1]);
     g_strfreev(parts);
-    bool is_good =
+    bool is_valid =
         node->callers != NULL && node->operators != NULL &&
-        ts_http_pool_open(&node->pool, load->loop, node->callers, CONNECTIONS_A_NODE) == TS_OK &&
+        ts_http_pool_open(&node->pool, load->loop, node->callers, CONNECTIONS_PER_NODE) == TS_OK &&
         ts_http_pool_open(&node->health, load->loop, node->operators, 2) == TS_OK;
-    if (!is_good) {
-        fprintf(stderr, "--node %s: not of the form IP:PORT/IP:PORT\n", text);
+    if (!is_valid) {
+        fprintf(stderr, "--node %s: expected IP:PORT/IP:PORT\n", text);
     }
     node->is_ready = true;
     g_ptr_array_add(load->nodes, node);
-    return is_good;
+    return is_valid;
 }
 
 static bool add_kind(lab_load_t *load, const char *text)
@@ -183,19 +183,20 @@
     kind->name = g_strdup(parts[0]);
     kind->rate = parts[0] != NULL && parts[1] != NULL ? g_ascii_strtod(parts[1], NULL) : 0;
     kind->selector = ts_declarations_selector(load->declarations, kind->name);
-    kind->coverage_least = 1;
+    kind->coverage_min = 1;
     kind->next_us = load->started_us;
     g_ptr_array_add(load->kinds, kind);
     g_strfreev(parts);
     if (kind->selector == NULL || kind->rate <= 0) {
-        fprintf(stderr, "--kind %s: not of the form KIND:RATE, or not declared\n", text);
+        fprintf(stderr, "--kind %s: expected KIND:RATE with a declared kind and a rate above 0\n",
+                text);
         return false;
     }
-    draw_next(load, kind);
+    schedule_next_arrival(load, kind);
     return true;
 }
 
-static void generate(lab_load_t *load)
+static void run_generator(lab_load_t *load)
 {
     uv_poll_t poll;
     uv_timer_t health;
@@ -207,7 +208,7 @@
     uv_timer_init(load->loop, &health);
     health.data = load;
     uv_timer_start(&health, check_nodes, 0, HEALTH_PERIOD_MS);
-    arm_arrivals(load);
+    arm_arrival_timer(load);
     uv_run(load->loop, UV_RUN_DEFAULT);
 }
 
@@ -218,35 +219,35 @@
     if (load->declarations == NULL) {
         return false;
     }
-    bool is_good = true;
+    bool is_valid = true;
     for (int i = 0; i < nodes->count; i++) {
-        is_good &= add_node(load, nodes->sval[i]);
+        is_valid &= add_node(load, nodes->sval[i]);
     }
     for (int i = 0; i < kinds->count; i++) {
-        is_good &= add_kind(load, kinds->sval[i]);
+        is_valid &= add_kind(load, kinds->sval[i]);
     }
-    return is_good;
+    return is_valid;
 }
 
 static int run_load(int argc, char **argv)
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
-    struct arg_file *file = arg_file1("d", "declarations", "FILE", "declarations in force");
+    struct arg_file *file = arg_file1("d", "declarations", "FILE", "declarations in effect");
     struct arg_str *nodes = arg_strn("a", "node", "CALLERS/OPERATORS", 1, NODES_MAX,
                                      "a node's two addresses, IP:PORT/IP:PORT");
-    struct arg_str *kinds = arg_strn("k", "kind", "KIND:RATE", 1, KINDS_MAX, "queries a second");
-    struct arg_dbl *seconds = arg_dbl1("t", "seconds", "S", "how long arrivals go on");
-    struct arg_int *seed = arg_int0(NULL, "seed", "N", "seed of the arrivals (1)");
-    struct arg_file *out = arg_file0(NULL, "journal", "FILE", "write a line for each query");
+    struct arg_str *kinds = arg_strn("k", "kind", "KIND:RATE", 1, KINDS_MAX, "queries per second");
+    struct arg_dbl *seconds = arg_dbl1("t", "seconds", "S", "duration of the arrivals");
+    struct arg_int *seed = arg_int0(NULL, "seed", "N", "random seed (1)");
+    struct arg_file *out = arg_file0(NULL, "journal", "FILE", "write one line per query");
     struct arg_file *tries =
-        arg_file0(NULL, "tries", "FILE", "write a line for each try of an unrepeatable query");
+        arg_file0(NULL, "tries", "FILE", "write one line per attempt of an unrepeatable query");
     struct arg_lit *moving =
-        arg_lit0(NULL, "reach-changes", "the declared reach changes meanwhile");
+        arg_lit0(NULL, "reach-changes", "the declared reach changes during the run");
     struct arg_end *end = arg_end(8);
     void *table[TABLE_SIZE] = {help, file, nodes, kinds, seconds, seed, out, tries, moving, end};
     int exit_code = TS_EXIT_OK;
     if (ts_command_parse(argc, argv, table, TABLE_SIZE,
-                         "send queries at a given rate, check every answer, print a report",
+                         "send queries at a fixed mean rate, check every answer, print a report",
                          &exit_code)) {
         lab_load_t load = {.loop = uv_default_loop(),
                            .kinds = g_ptr_array_new(),
@@ -261,7 +262,7 @@
         load.tries = tries->count > 0 ? fopen(tries->filename[0], "w") : NULL;
         exit_code = TS_EXIT_USAGE;
         if (prepare(&load, file->filename[0], nodes, kinds)) {
-            generate(&load);
+            run_generator(&load);
             json_t *report = lab_load_report(&load);
             json_dumpf(report, stdout, JSON_INDENT(2) | JSON_REAL_PRECISION(REPORT_DIGITS));
             printf("\n");
@@ -280,4 +281,4 @@
 
 static const ts_command_t command = {run_load};
 TS_REGISTER_PLUGIN(lab_command_load, TS_PLUGIN_COMMAND, "load", 3, &command,
-                   "an open-loop load generator that checks every answer")
+                   "open-loop load generator that checks every answer")
--- a/lab/load.h
+++ b/lab/load.h
@@ -1,4 +1,4 @@
-/** Types of the open-loop load generator. */
+/** Open-loop load generator: state and internal interface. */
 #ifndef TEALSPAR_LAB_LOAD_H
 #define TEALSPAR_LAB_LOAD_H
 
@@ -10,34 +10,33 @@
 #include "tealspar/histogram.h"
 #include "tealspar/http_client.h"
 
-/** One kind of query under load. */
+/** Arrivals and results of one query kind. */
 typedef struct lab_load_kind {
     char *name;
-    double rate; /**< a second */
+    double rate; /**< queries per second */
     const ts_selector_t *selector;
-    ts_time_us_t next_us;     /**< next arrival */
-    ts_histogram_t latencies; /**< of answered queries */
+    ts_time_us_t next_us;     /**< scheduled time of the next arrival */
+    ts_histogram_t latencies; /**< of answered queries, in microseconds */
     uint64_t sent;
     uint64_t answered;
     uint64_t refused;
-    uint64_t unknown;
-    uint64_t lost;
-    uint64_t true_claims;
+    uint64_t unknown;     /**< outcome "unknown": the query may have run */
+    uint64_t lost;        /**< no reply: connection error or time-out */
+    uint64_t true_claims; /**< answers whose coverage matched their hits */
     double coverage_sum;
-    double coverage_least;
+    double coverage_min;
 } lab_load_kind_t;
 
-/** One node as a balancer sees it. */
+/** A node as seen by the load balancer that the generator emulates. */
 typedef struct lab_load_node {
     char *callers;
     char *operators;
     ts_http_pool_t *pool;
-    ts_http_pool_t *health;
+    ts_http_pool_t *health; /**< connections to the operators' address, for health checks */
     bool is_ready;
-    bool is_checking;
+    bool is_checking; /**< a health check is in flight */
 } lab_load_node_t;
 
-/** The whole generator. */
 typedef struct lab_load {
     uv_loop_t *loop;
     const ts_declarations_t *declarations;
@@ -45,22 +44,22 @@
     GPtrArray *nodes; /**< of lab_load_node_t */
     ts_time_us_t started_us;
     ts_time_us_t ends_us;
-    uint64_t next_number;
+    uint64_t next_number; /**< sequence number of the next query id */
     uint64_t seed;
     unsigned next_node;
     uint64_t outstanding;
-    bool is_over;
-    bool check_reach;
+    bool is_over;     /**< no more arrivals; replies may be outstanding */
+    bool check_reach; /**< the declared reach is constant, so answers are checked against it */
     lab_violations_t violations;
     uint64_t repeats;
     gsl_rng *random;
     FILE *journal;
-    FILE *tries; /**< a line for each try of an unrepeatable query; NULL: not wanted */
+    FILE *tries; /**< one line per attempt of an unrepeatable query; may be NULL */
 } lab_load_t;
 
-/** Sends one query of a kind, due at `due_us`. */
+/** Sends one query; its latency is counted from the scheduled arrival time `due_us`. */
 void lab_load_send(lab_load_t *load, lab_load_kind_t *kind, ts_time_us_t due_us);
-/** The closing report as JSON. */
+/** Returns the final report as a new JSON object. */
 json_t *lab_load_report(const lab_load_t *load);
 
 #endif
--- a/lab/load_check.c
+++ b/lab/load_check.c
@@ -1,4 +1,4 @@
-/** The oracle of answers. */
+/** Test oracle for answers. */
 #include "load_check.h"
 
 #include <math.h>
@@ -11,15 +11,15 @@
 #define TEXT_SIZE 64
 #define SCORE_TOLERANCE 1e-9
 
-/* What the hits themselves show. */
-typedef struct evidence {
-    GHashTable *hits_by_shard; /* shard -> number of hits */
+/* Findings from the hits of an answer. */
+typedef struct findings {
+    GHashTable *hits_by_shard; /* shard name -> number of hits */
     bool is_mixed;
     bool is_wrong;
-} evidence_t;
+} findings_t;
 
-static void examine_hit(const lab_asked_t *asked, const json_t *hit, uint64_t snapshot,
-                        double *last_score, evidence_t *evidence)
+static void check_hit(const lab_query_spec_t *spec, const json_t *hit, uint64_t snapshot,
+                      double *last_score, findings_t *findings)
 {
     char shard[NAME_SIZE];
     char expected[TEXT_SIZE];
@@ -28,58 +28,58 @@
     const char *id = json_string_value(json_object_get(hit, "id"));
     const char *text = json_string_value(json_object_get(hit, "text"));
     double score = json_number_value(json_object_get(hit, "score"));
-    if (id == NULL || text == NULL || !lab_record_split(id, shard, &hit_snapshot, &number)) {
-        evidence->is_wrong = true;
+    if (id == NULL || text == NULL || !lab_record_parse_id(id, shard, &hit_snapshot, &number)) {
+        findings->is_wrong = true;
         return;
     }
-    evidence->is_mixed |= hit_snapshot != snapshot;
-    lab_record_text(expected, sizeof(expected), asked->text, hit_snapshot, number);
-    double expected_score = lab_record_score(shard, asked->text, hit_snapshot, number);
-    evidence->is_wrong |= strcmp(text, expected) != 0 || score > *last_score ||
+    findings->is_mixed |= hit_snapshot != snapshot;
+    lab_record_text(expected, sizeof(expected), spec->text, hit_snapshot, number);
+    double expected_score = lab_record_score(shard, spec->text, hit_snapshot, number);
+    findings->is_wrong |= strcmp(text, expected) != 0 || score > *last_score ||
                           fabs(score - expected_score) > SCORE_TOLERANCE;
     *last_score = score;
-    gpointer count = g_hash_table_lookup(evidence->hits_by_shard, shard);
-    g_hash_table_insert(evidence->hits_by_shard, g_strdup(shard),
+    gpointer count = g_hash_table_lookup(findings->hits_by_shard, shard);
+    g_hash_table_insert(findings->hits_by_shard, g_strdup(shard),
                         GUINT_TO_POINTER(GPOINTER_TO_UINT(count) + 1));
 }
 
-/* Every covered shard must have given all its hits, and be one that the kind may reach. */
-static void examine_shards(const lab_asked_t *asked, uint64_t snapshot, evidence_t *evidence)
+/* Each shard with hits must have returned all of them and, if checked, be within the reach. */
+static void check_shards(const lab_query_spec_t *spec, uint64_t snapshot, findings_t *findings)
 {
     GHashTableIter iterator;
     gpointer key = NULL;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, evidence->hits_by_shard);
+    g_hash_table_iter_init(&iterator, findings->hits_by_shard);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         const char *shard = key;
-        evidence->is_wrong |=
-            GPOINTER_TO_UINT(value) != lab_record_count(shard, asked->text, snapshot);
+        findings->is_wrong |=
+            GPOINTER_TO_UINT(value) != lab_record_count(shard, spec->text, snapshot);
         unsigned index =
-            GPOINTER_TO_UINT(g_hash_table_lookup(asked->declarations->shard_by_name, shard));
-        if (!asked->check_reach || index == 0) {
-            evidence->is_wrong |= index == 0;
+            GPOINTER_TO_UINT(g_hash_table_lookup(spec->declarations->shard_by_name, shard));
+        if (!spec->check_reach || index == 0) {
+            findings->is_wrong |= index == 0;
             continue;
         }
         const ts_group_t *group =
-            &asked->declarations->groups[asked->declarations->shards[index - 1].group];
-        evidence->is_wrong |=
-            !ts_labels_match(asked->selector->groups, asked->selector->groups_count, group->labels,
-                             group->labels_count);
+            &spec->declarations->groups[spec->declarations->shards[index - 1].group];
+        findings->is_wrong |= !ts_labels_match(spec->selector->groups, spec->selector->groups_count,
+                                               group->labels, group->labels_count);
     }
 }
 
-static bool is_key_shard(const lab_asked_t *asked, const evidence_t *evidence)
+/* Whether the answer has hits of the key's shard; always true for queries not routed by key. */
+static bool has_key_shard(const lab_query_spec_t *spec, const findings_t *findings)
 {
-    if (asked->selector->route != TS_ROUTE_KEY) {
+    if (spec->selector->route != TS_ROUTE_KEY) {
         return true;
     }
-    uint32_t reach_index = ts_route_shard_of_key(asked->declarations, asked->selector, asked->text);
-    const char *name = asked->declarations->shards[asked->selector->reach[reach_index]].name;
-    return g_hash_table_contains(evidence->hits_by_shard, name);
+    uint32_t reach_index = ts_route_shard_of_key(spec->declarations, spec->selector, spec->text);
+    const char *name = spec->declarations->shards[spec->selector->reach[reach_index]].name;
+    return g_hash_table_contains(findings->hits_by_shard, name);
 }
 
-/* The groups' coverage must add up and agree with the hits. */
-static bool is_group_coverage_true(const json_t *coverage, const evidence_t *evidence)
+/* Whether the coverage of each group matches the hits and the sum matches the total. */
+static bool is_group_coverage_correct(const json_t *coverage, const findings_t *findings)
 {
     size_t index = 0;
     const json_t *row = NULL;
@@ -91,7 +91,7 @@
         json_int_t found = 0;
         GHashTableIter iterator;
         gpointer key = NULL;
-        g_hash_table_iter_init(&iterator, evidence->hits_by_shard);
+        g_hash_table_iter_init(&iterator, findings->hits_by_shard);
         while (g_hash_table_iter_next(&iterator, &key, NULL)) {
             const char *shard = key;
             size_t length = strcspn(shard, "/");
@@ -105,30 +105,30 @@
     return sum == json_integer_value(json_object_get(coverage, "covered"));
 }
 
-void lab_check_answer(const lab_asked_t *asked, const json_t *answer, lab_told_t *told,
-                      lab_violations_t *violations)
+void lab_check_answer(const lab_query_spec_t *spec, const json_t *answer,
+                      lab_answer_summary_t *summary, lab_violations_t *violations)
 {
-    evidence_t evidence = {g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL), false,
+    findings_t findings = {g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL), false,
                            false};
     const json_t *coverage = json_object_get(answer, "coverage");
     const char *id = json_string_value(json_object_get(answer, "id"));
     double last_score = INFINITY;
     size_t index = 0;
     const json_t *hit = NULL;
-    told->snapshot = (uint64_t)json_integer_value(json_object_get(answer, "snapshot"));
-    told->shards = (uint32_t)json_integer_value(json_object_get(coverage, "shards"));
-    told->covered = (uint32_t)json_integer_value(json_object_get(coverage, "covered"));
+    summary->snapshot = (uint64_t)json_integer_value(json_object_get(answer, "snapshot"));
+    summary->shards = (uint32_t)json_integer_value(json_object_get(coverage, "shards"));
+    summary->covered = (uint32_t)json_integer_value(json_object_get(coverage, "covered"));
     json_array_foreach(json_object_get(answer, "hits"), index, hit)
     {
-        examine_hit(asked, hit, told->snapshot, &last_score, &evidence);
+        check_hit(spec, hit, summary->snapshot, &last_score, &findings);
     }
-    examine_shards(asked, told->snapshot, &evidence);
-    evidence.is_wrong |= id == NULL || strcmp(id, asked->id) != 0;
-    evidence.is_wrong |= told->covered > 0 && !is_key_shard(asked, &evidence);
-    bool is_false = g_hash_table_size(evidence.hits_by_shard) != told->covered ||
-                    !is_group_coverage_true(coverage, &evidence);
-    violations->mixed_snapshot += evidence.is_mixed;
-    violations->wrong_answer += evidence.is_wrong;
+    check_shards(spec, summary->snapshot, &findings);
+    findings.is_wrong |= id == NULL || strcmp(id, spec->id) != 0;
+    findings.is_wrong |= summary->covered > 0 && !has_key_shard(spec, &findings);
+    bool is_false = g_hash_table_size(findings.hits_by_shard) != summary->covered ||
+                    !is_group_coverage_correct(coverage, &findings);
+    violations->mixed_snapshot += findings.is_mixed;
+    violations->wrong_answer += findings.is_wrong;
     violations->false_coverage += is_false;
-    g_hash_table_destroy(evidence.hits_by_shard);
+    g_hash_table_destroy(findings.hits_by_shard);
 }
--- a/lab/load_check.h
+++ b/lab/load_check.h
@@ -1,4 +1,4 @@
-/** The oracle of answers: checks what a caller was told against what the records are. */
+/** Test oracle: checks answers that callers received against the records (records.h). */
 #ifndef TEALSPAR_LAB_LOAD_CHECK_H
 #define TEALSPAR_LAB_LOAD_CHECK_H
 
@@ -6,31 +6,31 @@
 
 #include "tealspar/declarations.h"
 
-/** Broken promises found in answers. */
+/** Answers that violated a guarantee, by guarantee. */
 typedef struct lab_violations {
-    uint64_t mixed_snapshot;
-    uint64_t false_coverage;
-    uint64_t wrong_answer;
+    uint64_t mixed_snapshot; /**< hits of another snapshot than the answer states */
+    uint64_t false_coverage; /**< stated coverage does not match the hits */
+    uint64_t wrong_answer;   /**< wrong id, hits or score order, or shard outside the reach */
 } lab_violations_t;
 
-/** What was asked. */
-typedef struct lab_asked {
+/** The query that an answer is checked against. */
+typedef struct lab_query_spec {
     const ts_declarations_t *declarations;
     const ts_selector_t *selector;
     const char *id;
-    const char *text; /**< or the key */
-    bool check_reach; /**< the reach is as declared throughout the run */
-} lab_asked_t;
+    const char *text; /**< query text, or the key if routed by key */
+    bool check_reach; /**< whether hits outside the declared reach are violations */
+} lab_query_spec_t;
 
-/** What an answer says, once checked. */
-typedef struct lab_told {
+/** Snapshot and coverage that an answer states. */
+typedef struct lab_answer_summary {
     uint64_t snapshot;
     uint32_t shards;
     uint32_t covered;
-} lab_told_t;
+} lab_answer_summary_t;
 
-/** Checks an answered query; counts at most one violation of each type. */
-void lab_check_answer(const lab_asked_t *asked, const json_t *answer, lab_told_t *told,
-                      lab_violations_t *violations);
+/** Checks one answer; increments each violation counter at most once. */
+void lab_check_answer(const lab_query_spec_t *spec, const json_t *answer,
+                      lab_answer_summary_t *summary, lab_violations_t *violations);
 
 #endif
--- a/lab/load_query.c
+++ b/lab/load_query.c
@@ -1,4 +1,4 @@
-/** One query of the load generator: sending, repeating, taking the answer. */
+/** One query of the load generator: sending, repeating, handling the reply. */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,10 +9,10 @@
 #define VOCABULARY 997U
 #define RESULT_LIMIT_MARGIN 2U
 #define REPEATS_MAX 3U
-#define REPEAT_AFTER_MS 300
+#define REPEAT_DELAY_MS 300
 #define PERCENT 100.0
-/* A reply later than this after the deadline counts as lost. */
-#define LOST_AFTER_MS 2000U
+/* A query without a reply by this time after its deadline counts as lost. */
+#define REPLY_GRACE_MS 2000U
 #define ID_SIZE 64
 
 typedef struct lab_query {
@@ -21,7 +21,7 @@
     char id[ID_SIZE];
     char text[ID_SIZE];
     ts_time_us_t due_us;
-    ts_time_us_t sent_us; /* the last try */
+    ts_time_us_t sent_us; /* start of the last attempt */
     const lab_load_node_t *node;
     int64_t issued_at_ms;
     unsigned repeats;
@@ -35,23 +35,26 @@
     g_free(handle->data);
 }
 
-/* Journal: "WALL_MS LATENCY_US KIND ID OUTCOME ERROR SNAPSHOT SHARDS COVERED REPEAT". */
+/* Journal line: "WALL_MS LATENCY_US KIND ID OUTCOME ERROR SNAPSHOT SHARDS COVERED REPEAT". */
 static void finish(lab_query_t *query, const char *outcome, const char *error,
-                   const lab_told_t *told)
+                   const lab_answer_summary_t *summary)
 {
     lab_load_t *load = query->load;
     ts_time_us_t latency_us = ts_clock_now_us() - query->due_us;
     if (load->journal != NULL) {
         fprintf(load->journal, "%" PRId64 " %" PRIu64 " %s %s %s %s %" PRIu64 " %u %u %u\n",
                 ts_clock_wall_ms(), latency_us, query->kind->name, query->id, outcome, error,
-                told->snapshot, told->shards, told->covered, query->repeats);
+                summary->snapshot, summary->shards, summary->covered, query->repeats);
     }
     load->outstanding--;
     uv_close((uv_handle_t *)&query->timer, free_query);
 }
 
-/* Tries: "WALL_MS TOOK_US ID REPEAT NODE OUTCOME ERROR", NODE by its callers' address. */
-static void note_try(const lab_query_t *query, const char *outcome, const char *error)
+/*
+ * Line of the --tries file: "WALL_MS DURATION_US ID REPEAT NODE OUTCOME ERROR", where NODE is the
+ * node's address for callers.
+ */
+static void write_attempt(const lab_query_t *query, const char *outcome, const char *error)
 {
     if (query->load->tries == NULL || !query->kind->selector->unrepeatable)
         return;
@@ -62,54 +65,57 @@
 
 static void send_query(lab_query_t *query);
 
-static void repeat_later(uv_timer_t *timer)
+static void send_repeat(uv_timer_t *timer)
 {
     send_query(timer->data);
 }
 
-static void take_answered(lab_query_t *query, const json_t *root)
+static void handle_answer(lab_query_t *query, const json_t *root)
 {
     lab_load_kind_t *kind = query->kind;
     lab_load_t *load = query->load;
-    lab_told_t told = {0};
-    lab_asked_t asked = {load->declarations, kind->selector, query->id, query->text,
-                         load->check_reach};
+    lab_answer_summary_t summary = {0};
+    lab_query_spec_t spec = {load->declarations, kind->selector, query->id, query->text,
+                             load->check_reach};
     uint64_t false_before = load->violations.false_coverage;
-    lab_check_answer(&asked, root, &told, &load->violations);
-    double part = told.shards == 0 ? 0 : (double)told.covered / told.shards;
+    lab_check_answer(&spec, root, &summary, &load->violations);
+    double coverage = summary.shards == 0 ? 0 : (double)summary.covered / summary.shards;
     kind->answered++;
     kind->true_claims += load->violations.false_coverage == false_before;
-    kind->coverage_sum += part;
-    kind->coverage_least = MIN(kind->coverage_least, part);
+    kind->coverage_sum += coverage;
+    kind->coverage_min = MIN(kind->coverage_min, coverage);
     ts_histogram_add(&kind->latencies, ts_clock_now_us() - query->due_us);
-    finish(query, "answered", "ok", &told);
+    finish(query, "answered", "ok", &summary);
 }
 
-/* What a caller does with an unrepeatable request of which it does not know whether it ran. */
-static bool repeat_unknown(lab_query_t *query)
+/*
+ * Repeats an unrepeatable query that may or may not have run, under the same id and marked as a
+ * repeat, as callers are expected to. Returns false if it is not to be repeated (again).
+ */
+static bool schedule_repeat(lab_query_t *query)
 {
     if (!query->kind->selector->unrepeatable || query->repeats >= REPEATS_MAX) {
         return false;
     }
     query->repeats++;
     query->load->repeats++;
-    uv_timer_start(&query->timer, repeat_later, REPEAT_AFTER_MS, 0);
+    uv_timer_start(&query->timer, send_repeat, REPEAT_DELAY_MS, 0);
     return true;
 }
 
-static void take_reply(lab_query_t *query, const json_t *root)
+static void handle_reply(lab_query_t *query, const json_t *root)
 {
     const char *outcome = json_string_value(json_object_get(root, "outcome"));
     const char *error = json_string_value(json_object_get(root, "error"));
-    lab_told_t nothing = {0};
-    note_try(query, outcome == NULL ? "garbled" : outcome, error == NULL ? "-" : error);
+    lab_answer_summary_t nothing = {0};
+    write_attempt(query, outcome == NULL ? "garbled" : outcome, error == NULL ? "-" : error);
     if (outcome != NULL && strcmp(outcome, "answered") == 0) {
-        take_answered(query, root);
+        handle_answer(query, root);
     } else if (outcome != NULL && strcmp(outcome, "refused") == 0) {
         query->kind->refused++;
         finish(query, "refused", error == NULL ? "-" : error, &nothing);
     } else if (outcome != NULL && strcmp(outcome, "unknown") == 0) {
-        if (!repeat_unknown(query)) {
+        if (!schedule_repeat(query)) {
             query->kind->unknown++;
             finish(query, "unknown", error == NULL ? "-" : error, &nothing);
         }
@@ -119,42 +125,45 @@
     }
 }
 
-static void take_result(void *context, const ts_http_result_t *result)
+static void handle_result(void *context, const ts_http_result_t *result)
 {
     lab_query_t *query = context;
-    lab_told_t nothing = {0};
+    lab_answer_summary_t nothing = {0};
     query->call = NULL;
     uv_timer_stop(&query->timer);
     if (result->error != TS_OK)
-        note_try(query, "broken", ts_error_name(result->error));
+        write_attempt(query, "broken", ts_error_name(result->error));
     if (result->error == TS_E_CONNECT && query->nodes_tried < query->load->nodes->len) {
-        send_query(query); /* nothing was sent: a balancer tries the next node */
+        send_query(query); /* nothing was sent, so the next node is safe to try, as balancers do */
         return;
     }
     if (result->error != TS_OK) {
-        if (!repeat_unknown(query)) {
+        if (!schedule_repeat(query)) {
             query->kind->lost++;
             finish(query, "lost", ts_error_name(result->error), &nothing);
         }
         return;
     }
     json_t *root = json_loadb(result->body, result->body_length, 0, NULL);
-    take_reply(query, root);
+    handle_reply(query, root);
     json_decref(root);
 }
 
-static void take_timeout(uv_timer_t *timer)
+static void handle_timeout(uv_timer_t *timer)
 {
     lab_query_t *query = timer->data;
-    lab_told_t nothing = {0};
+    lab_answer_summary_t nothing = {0};
     ts_http_cancel(query->call);
     query->call = NULL;
-    note_try(query, "lost", "timeout");
+    write_attempt(query, "lost", "timeout");
     query->kind->lost++;
     finish(query, "lost", "timeout", &nothing);
 }
 
-/* The next ready node in turn, or the next at all; the command line names at least one. */
+/*
+ * Round-robin over the ready nodes, or over all nodes if none is ready. The command line names at
+ * least one node.
+ */
 static lab_load_node_t *choose_node(lab_load_t *load)
 {
     guint count = MAX(load->nodes->len, 1);
@@ -170,9 +179,9 @@
 static char *write_body(const lab_query_t *query)
 {
     const ts_selector_t *selector = query->kind->selector;
-    uint32_t wanted = selector->reach_count * RESULT_LIMIT_MARGIN;
+    uint32_t limit = selector->reach_count * RESULT_LIMIT_MARGIN;
     json_t *root = json_pack("{s:s, s:s, s:i}", "id", query->id, "kind", query->kind->name, "limit",
-                             (int)MIN(wanted, selector->result_limit));
+                             (int)MIN(limit, selector->result_limit));
     bool is_by_key = selector->route == TS_ROUTE_KEY;
     json_object_set_new(root, is_by_key ? "key" : "text", json_string(query->text));
     if (selector->unrepeatable) {
@@ -193,9 +202,9 @@
     query->node = node;
     query->sent_us = ts_clock_now_us();
     query->nodes_tried++;
-    query->call = ts_http_call(node->pool, &send, take_result, query);
-    uv_timer_start(&query->timer, take_timeout, query->kind->selector->deadline_ms + LOST_AFTER_MS,
-                   0);
+    query->call = ts_http_call(node->pool, &send, handle_result, query);
+    uv_timer_start(&query->timer, handle_timeout,
+                   query->kind->selector->deadline_ms + REPLY_GRACE_MS, 0);
     free(body);
 }
 
--- a/lab/main.c
+++ b/lab/main.c
@@ -1,7 +1,8 @@
-/** The program `tealspar-lab`: stand-ins and experiments. */
+/** The program `tealspar-lab`: stand-in services, simulations and test scenarios. */
 #include "tealspar/command.h"
 
 int main(int argc, char **argv)
 {
-    return ts_command_main("tealspar-lab", "stand-ins and experiments for tealspar", argc, argv);
+    return ts_command_main("tealspar-lab", "stand-in services, simulations and test scenarios",
+                           argc, argv);
 }
--- a/lab/platform.c
+++ b/lab/platform.c
@@ -1,6 +1,7 @@
 /**
- * `tealspar-lab platform`: a stand-in of the platform. It serves a configuration file and a file of
- * machines, read anew at each request; POST /control sets its mode: up, down (errors), hang.
+ * `tealspar-lab platform`: a stand-in for the platform. It serves the configuration file at /config
+ * and the machine list at /machines and reads them again for every request. POST /control sets the
+ * mode: "down" answers everything else with status 500, any other value serves normally.
  */
 #include <glib.h>
 #include <inttypes.h>
@@ -25,7 +26,7 @@
     const char *config_path;
     const char *machines_path;
     platform_mode_t mode;
-    uint64_t reads;
+    uint64_t reads; /* requests other than /control */
     ts_http_server_t *server;
 } platform;
 
@@ -46,7 +47,7 @@
     char have[64] = "";
     char current[64];
     if (!g_file_get_contents(platform.config_path, &text, NULL, NULL)) {
-        reply(exchange, 404, "text/plain", "no configuration\n");
+        reply(exchange, 404, "text/plain", "cannot read the configuration file\n");
         return;
     }
     snprintf(current, sizeof(current), "\"%" PRIu64 "\"", find_version(text));
@@ -63,14 +64,14 @@
 {
     char *text = NULL;
     if (!g_file_get_contents(platform.machines_path, &text, NULL, NULL)) {
-        reply(exchange, 404, "text/plain", "no machines\n");
+        reply(exchange, 404, "text/plain", "cannot read the machine list\n");
         return;
     }
     reply(exchange, 200, "application/json", text);
     g_free(text);
 }
 
-static void take_control(ts_http_exchange_t *exchange, const ts_http_request_t *request)
+static void handle_control(ts_http_exchange_t *exchange, const ts_http_request_t *request)
 {
     json_t *root = json_loadb(request->body, request->body_length, 0, NULL);
     const char *mode = json_string_value(json_object_get(root, "mode"));
@@ -93,7 +94,7 @@
                            const ts_http_request_t *request)
 {
     if (is_path(request, "/control")) {
-        take_control(exchange, request);
+        handle_control(exchange, request);
         return;
     }
     platform.reads++;
@@ -104,11 +105,11 @@
     } else if (is_path(request, "/machines")) {
         reply_machines(exchange);
     } else {
-        reply(exchange, 404, "text/plain", "see /config and /machines\n");
+        reply(exchange, 404, "text/plain", "not found; known paths: /config, /machines\n");
     }
 }
 
-static void stop_loop(uv_signal_t *handle, int number)
+static void handle_stop_signal(uv_signal_t *handle, int number)
 {
     uv_stop(handle->loop);
 }
@@ -121,12 +122,12 @@
     ts_error_t error =
         ts_http_server_open(&platform.server, loop, address, &limits, handle_request, NULL);
     if (error != TS_OK) {
-        fprintf(stderr, "platform at %s: %s\n", address, ts_error_text(error));
+        fprintf(stderr, "platform: cannot listen on %s: %s\n", address, ts_error_text(error));
         return TS_EXIT_FAILURE;
     }
     signal(SIGPIPE, SIG_IGN);
     uv_signal_init(loop, &terminate);
-    uv_signal_start(&terminate, stop_loop, SIGTERM);
+    uv_signal_start(&terminate, handle_stop_signal, SIGTERM);
     printf("ready\n");
     fflush(stdout);
     uv_run(loop, UV_RUN_DEFAULT);
@@ -136,13 +137,13 @@
 static int run_platform(int argc, char **argv)
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
-    struct arg_str *address = arg_str1("a", "address", "IP:PORT", "where to listen");
+    struct arg_str *address = arg_str1("a", "address", "IP:PORT", "address to listen on");
     struct arg_file *config = arg_file1("c", "config", "FILE", "declarations to serve");
-    struct arg_file *machines = arg_file1("m", "machines", "FILE", "list of machines (JSON)");
+    struct arg_file *machines = arg_file1("m", "machines", "FILE", "machine list (JSON)");
     struct arg_end *end = arg_end(8);
     void *table[TABLE_SIZE] = {help, address, config, machines, end};
     int exit_code = TS_EXIT_OK;
-    if (ts_command_parse(argc, argv, table, TABLE_SIZE, "a stand-in of the platform", &exit_code)) {
+    if (ts_command_parse(argc, argv, table, TABLE_SIZE, "stand-in for the platform", &exit_code)) {
         platform.config_path = config->filename[0];
         platform.machines_path = machines->filename[0];
         exit_code = serve(address->sval[0]);
@@ -153,4 +154,4 @@
 
 static const ts_command_t command = {run_platform};
 TS_REGISTER_PLUGIN(lab_command_platform, TS_PLUGIN_COMMAND, "platform", 1, &command,
-                   "a stand-in of the platform")
+                   "stand-in for the platform")
--- a/lab/records.c
+++ b/lab/records.c
@@ -39,7 +39,7 @@
              ts_hash_mix(ts_hash_text(query), snapshot));
 }
 
-bool lab_record_split(const char *id, char *shard, uint64_t *snapshot, unsigned *number)
+bool lab_record_parse_id(const char *id, char *shard, uint64_t *snapshot, unsigned *number)
 {
     const char *at = strrchr(id, '@');
     if (at == NULL || (size_t)(at - id) >= SHARD_SIZE) {
--- a/lab/records.h
+++ b/lab/records.h
@@ -1,7 +1,7 @@
 /**
- * The records that stand-in searchers hold, as a function of shard, query and index version. The
- * load generator uses the same function as its oracle: an answer is right if and only if it is what
- * this function gives for every shard it claims to cover, in the one version it claims.
+ * Records of the stand-in searchers, computed from shard, query and snapshot. The load generator
+ * uses the same functions as test oracle: an answer is correct if and only if it contains, for
+ * every shard it states as covered, exactly these records in the snapshot it states.
  */
 #ifndef TEALSPAR_LAB_RECORDS_H
 #define TEALSPAR_LAB_RECORDS_H
@@ -12,18 +12,18 @@
 
 #define LAB_HITS_PER_SHARD_MAX 2U
 
-/** Number of hits of a shard for a query. */
+/** Number of hits that a shard has for a query. */
 unsigned lab_record_count(const char *shard, const char *query, uint64_t snapshot);
-/** Id of a hit: "SHARD@SNAPSHOT#NUMBER"; `size` bytes are enough at 128. */
+/** Writes the id of a hit, "SHARD@SNAPSHOT#NUMBER"; 128 bytes are sufficient. */
 void lab_record_id(char *id, size_t size, const char *shard, uint64_t snapshot, unsigned number);
-/** Score of a hit. */
+/** Score of a hit, from 0 to below 1. */
 double lab_record_score(const char *shard, const char *query, uint64_t snapshot, unsigned number);
-/** Text of a hit; `size` bytes are enough at 64. */
+/** Writes the text of a hit; 64 bytes are sufficient. */
 void lab_record_text(char *text, size_t size, const char *query, uint64_t snapshot,
                      unsigned number);
-/** Splits an id; false when it is none. `shard` has room for 128 bytes. */
-bool lab_record_split(const char *id, char *shard, uint64_t *snapshot, unsigned *number);
-/** The answer of a shard as JSON: snapshot, total, hits. */
+/** Parses the id of a hit; returns false if it is malformed. `shard` must hold 128 bytes. */
+bool lab_record_parse_id(const char *id, char *shard, uint64_t *snapshot, unsigned *number);
+/** Returns a shard's answer as a new JSON object with snapshot, total and hits. */
 json_t *lab_record_answer(const char *shard, const char *query, uint64_t snapshot, unsigned limit);
 
 #endif
--- a/lab/report.c
+++ b/lab/report.c
@@ -1,7 +1,7 @@
 /**
- * `tealspar-lab report DIR...`: one self-contained HTML page from the output directories of runs:
- * latency distributions by kind, and answers, coverage and searcher requests over time, runs beside
- * each other.
+ * `tealspar-lab report DIR...`: writes a self-contained HTML page that compares runs from their
+ * output directories: latency distributions by kind, and answers, coverage and searcher requests
+ * over time.
  */
 #include <glib.h>
 #include <inttypes.h>
@@ -28,27 +28,27 @@
 static const char *const colours[RUNS_MAX] = {"#1b6ca8", "#c8553d", "#3a7d44", "#8e5ea2",
                                               "#b8860b", "#2f4858", "#d1495b", "#5c946e"};
 
-/* What happened within one second. */
+/* Totals of one second of a run. */
 typedef struct second {
     uint64_t answered;
-    uint64_t others;
+    uint64_t others; /* outcomes other than "answered" */
     uint64_t searcher_requests;
     double coverage_sum;
 } second_t;
 
-/* One run's output directory, read. */
+/* Data read from the output directory of one run. */
 typedef struct run {
     char *directory;
     json_t *report;
     GHashTable *latencies; /* kind -> ts_histogram_t, owned */
     second_t seconds[SECONDS_MAX];
     unsigned second_count;
-    int64_t begin_ms;
+    int64_t begin_ms; /* time of the first query in the load journal */
 } run_t;
 
 /* ---- reading ---- */
 
-static second_t *second_of(run_t *run, int64_t at_ms)
+static second_t *get_second(run_t *run, int64_t at_ms)
 {
     int64_t index = (at_ms - run->begin_ms) / MS_PER_S;
     if (index < 0 || index >= (int64_t)SECONDS_MAX) {
@@ -74,7 +74,7 @@
         return;
     }
     run->begin_ms = run->begin_ms == 0 ? at_ms : run->begin_ms;
-    second_t *second = second_of(run, at_ms);
+    second_t *second = get_second(run, at_ms);
     if (second == NULL) {
         return;
     }
@@ -99,7 +99,7 @@
     int64_t at_ms = 0;
     if (sscanf(line, "%" SCNd64 " %159s %159s", &at_ms, backend, event) == 3 &&
         strcmp(event, "run") == 0) {
-        second_t *second = second_of(run, at_ms);
+        second_t *second = get_second(run, at_ms);
         if (second != NULL) {
             second->searcher_requests++;
         }
@@ -139,7 +139,9 @@
     run->report = json_load_file(path, 0, NULL);
     g_free(path);
     if (run->report == NULL) {
-        fprintf(stderr, "%s: no report.json; was it written by 'tealspar-lab run'?\n", directory);
+        fprintf(stderr,
+                "%s: cannot read report.json; not an output directory of tealspar-lab run?\n",
+                directory);
         free_run(run);
         return NULL;
     }
@@ -157,7 +159,7 @@
     return run;
 }
 
-static const char *text_of(const run_t *run, const char *key)
+static const char *get_text(const run_t *run, const char *key)
 {
     const char *text = json_string_value(json_object_get(run->report, key));
     return text == NULL ? "" : text;
@@ -166,7 +168,7 @@
 /* ---- drawing ---- */
 
 static void begin_plot(GString *out, const char *title, const char *x_label, const char *y_label,
-                       double y_most)
+                       double y_max)
 {
     g_string_append_printf(
         out,
@@ -175,7 +177,7 @@
         "<text x='%.0f' y='%.0f'>%s</text><text x='4' y='22'>%.4g</text>"
         "<text x='4' y='%.0f'>0</text><text x='4' y='%.0f'>%s</text>\n",
         title, PLOT_WIDTH, PLOT_HEIGHT + 30, PLOT_WIDTH, MARGIN, PLOT_WIDTH - MARGIN - 10,
-        PLOT_HEIGHT - 20, PLOT_WIDTH / 2, PLOT_HEIGHT + 20, x_label, y_most, PLOT_HEIGHT - 10,
+        PLOT_HEIGHT - 20, PLOT_WIDTH / 2, PLOT_HEIGHT + 20, x_label, y_max, PLOT_HEIGHT - 10,
         PLOT_HEIGHT + 20, y_label);
 }
 
@@ -197,13 +199,14 @@
     g_array_append_val(points, y);
 }
 
-/* Latency against the part of answers that took longer, both on scales of tens. */
+/* Plots the fraction of answers slower than a latency (complementary CDF), both axes logarithmic.
+ */
 static void draw_latencies(GString *out, run_t **runs, unsigned count, const char *kind)
 {
-    static const double longest_ms = 1000;
-    static const double least_part = 1e-4;
-    char *title = g_strdup_printf("%s: part of answers slower than", kind);
-    begin_plot(out, title, "0.1 ms to 1 s, on a scale of tens", "part, 1 down to 0.0001", 1);
+    static const double max_ms = 1000;
+    static const double min_fraction = 1e-4;
+    char *title = g_strdup_printf("%s: fraction of answers slower than", kind);
+    begin_plot(out, title, "0.1 ms to 1 s, logarithmic", "fraction, 1 to 0.0001, logarithmic", 1);
     g_free(title);
     for (unsigned r = 0; r < count; r++) {
         const ts_histogram_t *histogram = g_hash_table_lookup(runs[r]->latencies, kind);
@@ -215,9 +218,9 @@
                 continue;
             }
             double ms = (double)ts_histogram_upper_us(b) / US_PER_MS_DOUBLE;
-            double part = 1.0 - (double)seen / (double)histogram->total;
-            double x = (log10(fmax(ms, 0.1)) + 1) / (log10(longest_ms) + 1);
-            double y = 1 - log10(fmax(part, least_part)) / log10(least_part);
+            double fraction = 1.0 - (double)seen / (double)histogram->total;
+            double x = (log10(fmax(ms, 0.1)) + 1) / (log10(max_ms) + 1);
+            double y = 1 - log10(fmax(fraction, min_fraction)) / log10(min_fraction);
             add_point(points, fmin(x, 1), y);
         }
         add_line(out, points, colours[r]);
@@ -249,21 +252,21 @@
 static void draw_over_time(GString *out, run_t **runs, unsigned count, const char *title,
                            double (*value)(const second_t *second))
 {
-    double most = 0;
+    double max = 0;
     unsigned longest = 1;
     for (unsigned r = 0; r < count; r++) {
         longest = MAX(longest, runs[r]->second_count);
         for (unsigned s = 0; s < runs[r]->second_count; s++) {
-            most = fmax(most, value(&runs[r]->seconds[s]));
+            max = fmax(max, value(&runs[r]->seconds[s]));
         }
     }
     char *x_label = g_strdup_printf("%u seconds", longest);
-    begin_plot(out, title, x_label, "", most);
+    begin_plot(out, title, x_label, "", max);
     g_free(x_label);
     for (unsigned r = 0; r < count; r++) {
         GArray *points = g_array_new(FALSE, FALSE, sizeof(double));
         for (unsigned s = 0; s < runs[r]->second_count; s++) {
-            double y = most > 0 ? value(&runs[r]->seconds[s]) / most : 0;
+            double y = max > 0 ? value(&runs[r]->seconds[s]) / max : 0;
             add_point(points, (double)s / longest, y);
         }
         add_line(out, points, colours[r]);
@@ -282,7 +285,7 @@
                            "<h3 style='color:%s'>%s, %s, seed %lld</h3><table><tr><th>kind</th>"
                            "<th>sent</th><th>answered</th><th>p50 ms</th><th>p99 ms</th>"
                            "<th>p99.9 ms</th><th>coverage</th></tr>",
-                           colour, text_of(run, "scenario"), text_of(run, "policy"),
+                           colour, get_text(run, "scenario"), get_text(run, "policy"),
                            (long long)json_integer_value(json_object_get(run->report, "seed")));
     json_object_foreach(json_object_get(run->report, "kinds"), kind, row)
     {
@@ -298,7 +301,7 @@
             json_number_value(json_object_get(row, "coverage_mean")));
     }
     char *violations = json_dumps(json_object_get(run->report, "violations"), JSON_COMPACT);
-    g_string_append_printf(out, "</table><p>extra load %.4f; broken promises %s</p>\n",
+    g_string_append_printf(out, "</table><p>extra load %.4f; violated guarantees %s</p>\n",
                            json_number_value(json_object_get(run->report, "extra_load")),
                            violations == NULL ? "{}" : violations);
     free(violations);
@@ -320,10 +323,10 @@
     {
         draw_latencies(out, runs, count, kind);
     }
-    draw_over_time(out, runs, count, "answers a second", answered_of);
-    draw_over_time(out, runs, count, "refused, unknown or lost a second", others_of);
+    draw_over_time(out, runs, count, "answers per second", answered_of);
+    draw_over_time(out, runs, count, "refused, unknown or lost per second", others_of);
     draw_over_time(out, runs, count, "mean coverage", coverage_of);
-    draw_over_time(out, runs, count, "searcher requests a second", requests_of);
+    draw_over_time(out, runs, count, "searcher requests per second", requests_of);
     return g_string_free(out, FALSE);
 }
 
@@ -346,7 +349,7 @@
     bool is_written = g_file_set_contents(path, page, -1, NULL);
     g_free(page);
     if (!is_written) {
-        fprintf(stderr, "%s: cannot be written\n", path);
+        fprintf(stderr, "cannot write %s\n", path);
         return TS_EXIT_FAILURE;
     }
     printf("%s\n", path);
@@ -358,12 +361,12 @@
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
     struct arg_file *directories =
         arg_filen(NULL, NULL, "DIR", 1, RUNS_MAX, "output directories of 'tealspar-lab run'");
-    struct arg_file *out = arg_file0("o", "out", "FILE", "the page (DIR/report.html)");
+    struct arg_file *out = arg_file0("o", "out", "FILE", "output file (DIR/report.html)");
     struct arg_end *end = arg_end(8);
     void *table[TABLE_SIZE] = {help, directories, out, end};
     int exit_code = TS_EXIT_OK;
-    if (ts_command_parse(argc, argv, table, TABLE_SIZE,
-                         "write one HTML page that shows runs beside each other", &exit_code)) {
+    if (ts_command_parse(argc, argv, table, TABLE_SIZE, "write an HTML page that compares runs",
+                         &exit_code)) {
         char *path = out->count > 0
                          ? g_strdup(out->filename[0])
                          : g_build_filename(directories->filename[0], "report.html", NULL);
@@ -376,4 +379,4 @@
 
 static const ts_command_t command = {run_report};
 TS_REGISTER_PLUGIN(lab_command_report, TS_PLUGIN_COMMAND, "report", 5, &command,
-                   "an HTML page of runs beside each other")
+                   "HTML page that compares runs")
--- a/lab/run.c
+++ b/lab/run.c
@@ -1,6 +1,7 @@
 /**
- * `tealspar-lab run SCENARIO`: starts a fleet of real processes, puts load on it, applies faults at
- * their times, checks the promises from both sides' journals, and prints one JSON object last.
+ * `tealspar-lab run SCENARIO`: starts a fleet of real processes, generates load, injects the faults
+ * of the scenario, checks the guarantees against the journals of callers and searchers, and prints
+ * the report as one JSON object on the last line.
  */
 #include <inttypes.h>
 #include <signal.h>
@@ -17,10 +18,10 @@
 #define TABLE_SIZE 7
 #define READY_SECONDS 30.0
 #define LOAD_MARGIN_SECONDS 60.0
-#define CONFIG_BOUND_MS 13000.0
+#define CONFIG_PROPAGATION_MAX_MS 13000.0
 #define REPORT_DIGITS 6
 
-static bool never(void *context)
+static bool is_never_done(void *context)
 {
     return false;
 }
@@ -30,9 +31,9 @@
     return !((const lab_process_t *)context)->is_running;
 }
 
-/* ---- processor time of the nodes ---- */
+/* ---- CPU time of the nodes ---- */
 
-/* User and system seconds that a running process has used; 0 when it is gone. */
+/* User and system CPU seconds of a running process; 0 if it no longer exists. */
 static double read_cpu_seconds(int pid)
 {
     char *path = g_strdup_printf("/proc/%d/stat", pid);
@@ -77,7 +78,8 @@
 {
     const lab_scenario_t *scenario = fleet->scenario;
     GPtrArray *arguments = g_ptr_array_new_with_free_func(g_free);
-    /* the load keeps to the first declarations: a repartition moves shards, not the reach */
+    /* The load generator uses the initial declarations throughout: a repartition moves shards
+     * between backends but does not change the reach. */
     char *config = g_strdup_printf("%s/load-config.yaml", fleet->directory);
     g_file_set_contents(config, fleet->first_config, -1, NULL);
     g_ptr_array_add(arguments, g_strdup(fleet->lab_program));
@@ -115,7 +117,7 @@
     return report;
 }
 
-static void add_verdict(json_t *report, const lab_verdict_t *verdict)
+static void add_journal_checks(json_t *report, const lab_verdict_t *verdict)
 {
     json_t *violations = json_object_get(report, "violations");
     json_object_set_new(violations, "ran_though_refused",
@@ -129,17 +131,19 @@
     json_object_set_new(report, "over_slots", json_integer((json_int_t)verdict->over_slots));
 }
 
-static void add_watch(json_t *report, const lab_watch_t *watch, const lab_fault_log_t *log)
+static void add_config_checks(json_t *report, const lab_watch_t *watch, const lab_fault_log_t *log)
 {
     json_t *violations = json_object_get(report, "violations");
     unsigned late = 0;
-    double spread_ms = lab_watch_spread_ms(watch, log, CONFIG_BOUND_MS, &late);
-    json_object_set_new(violations, "config_reverted", json_integer(lab_watch_reverted(watch)));
+    double spread_ms = lab_watch_propagation_ms(watch, log, CONFIG_PROPAGATION_MAX_MS, &late);
+    json_object_set_new(violations, "config_reverted",
+                        json_integer(lab_watch_count_reverted(watch)));
     json_object_set_new(violations, "config_late", json_integer(late));
     json_object_set_new(report, "config_spread_ms", json_real(spread_ms));
 }
 
-/* Meaningful only when no node was started anew meanwhile. */
+/* Valid only if no node was restarted under load: the CPU time of exited processes is not counted.
+ */
 static void add_cpu(json_t *report, const lab_verdict_t *verdict, double cpu_s)
 {
     double per_core = cpu_s > 0 ? (double)verdict->searcher_requests / cpu_s : 0;
@@ -147,7 +151,7 @@
     json_object_set_new(report, "searcher_requests_per_core_s", json_real(per_core));
 }
 
-static bool is_clean(const json_t *report)
+static bool has_no_violations(const json_t *report)
 {
     const char *key = NULL;
     const json_t *value = NULL;
@@ -160,51 +164,51 @@
     return true;
 }
 
-static json_int_t count_of(const json_t *report, const char *key)
+static json_int_t get_count(const json_t *report, const char *key)
 {
     return json_integer_value(json_object_get(report, key));
 }
 
-/* Whether no more of a kind than expected ended without its caller's knowing if they ran. */
-static bool meets_unknown(const lab_scenario_t *scenario, const lab_scenario_kind_t *kind,
-                          const json_t *report)
+/* Whether the number of queries of a kind with outcome "unknown" is within the scenario's limit. */
+static bool is_unknown_within_limit(const lab_scenario_t *scenario, const lab_scenario_kind_t *kind,
+                                    const json_t *report)
 {
-    const json_t *told = json_object_get(json_object_get(report, "kinds"), kind->kind);
-    json_int_t unknown = count_of(told, "unknown");
+    const json_t *row = json_object_get(json_object_get(report, "kinds"), kind->kind);
+    json_int_t unknown = get_count(row, "unknown");
     if (kind->unknown_at_most == NULL || unknown <= *kind->unknown_at_most) {
         return true;
     }
-    fprintf(stderr, "%s: of %lld %s %lld may have run, at most %d expected\n", scenario->name,
-            (long long)count_of(told, "sent"), kind->kind, (long long)unknown,
+    fprintf(stderr, "%s: of %lld queries of kind %s, %lld ended with outcome unknown; limit %d\n",
+            scenario->name, (long long)get_count(row, "sent"), kind->kind, (long long)unknown,
             *kind->unknown_at_most);
     return false;
 }
 
-/* The scenario's own expectations; what falls short is said on standard error. */
+/* Checks the expectations of the scenario itself; prints each one that is not met. */
 static bool meets_expectations(const lab_scenario_t *scenario, const json_t *report)
 {
-    json_int_t answered = count_of(report, "answered");
-    json_int_t lost = count_of(report, "lost");
-    json_int_t all = answered + lost + count_of(report, "refused") + count_of(report, "unknown");
+    json_int_t answered = get_count(report, "answered");
+    json_int_t lost = get_count(report, "lost");
+    json_int_t all = answered + lost + get_count(report, "refused") + get_count(report, "unknown");
     double percent = all == 0 ? 0 : 100.0 * (double)answered / (double)all;
-    bool is_good = true;
+    bool is_successful = true;
     if (scenario->lost_at_most != NULL && lost > *scenario->lost_at_most) {
-        fprintf(stderr, "%s: %lld queries lost, at most %d expected\n", scenario->name,
-                (long long)lost, *scenario->lost_at_most);
-        is_good = false;
+        fprintf(stderr, "%s: %lld queries lost; limit %d\n", scenario->name, (long long)lost,
+                *scenario->lost_at_most);
+        is_successful = false;
     }
     if (percent < scenario->answered_at_least_percent) {
-        fprintf(stderr, "%s: %.2f%% answered, at least %g%% expected\n", scenario->name, percent,
+        fprintf(stderr, "%s: %.2f%% answered; required %g%%\n", scenario->name, percent,
                 scenario->answered_at_least_percent);
-        is_good = false;
+        is_successful = false;
     }
     for (unsigned i = 0; i < scenario->load_count; i++) {
-        is_good &= meets_unknown(scenario, &scenario->load[i], report);
+        is_successful &= is_unknown_within_limit(scenario, &scenario->load[i], report);
     }
-    return is_good;
+    return is_successful;
 }
 
-static void name_run(json_t *report, const lab_fleet_t *fleet)
+static void add_run_name(json_t *report, const lab_fleet_t *fleet)
 {
     json_object_set_new(report, "scenario", json_string(fleet->scenario->name));
     json_object_set_new(report, "seed", json_integer((json_int_t)fleet->seed));
@@ -238,7 +242,7 @@
     }
 }
 
-static bool put_load(lab_fleet_t *fleet, lab_fault_log_t *log)
+static bool run_load(lab_fleet_t *fleet, lab_fault_log_t *log)
 {
     lab_process_t load = {.name = "load"};
     if (!start_load(fleet, &load)) {
@@ -268,39 +272,39 @@
     }
     double cpu_before = 0;
     lab_watch_t *watch = lab_watch_start(fleet);
-    bool is_good = lab_run_until(fleet, lab_watch_all_ready, watch, READY_SECONDS);
-    if (!is_good) {
-        fprintf(stderr, "not every node was ready within %g s; logs are in %s\n", READY_SECONDS,
+    bool is_successful = lab_run_until(fleet, lab_watch_all_ready, watch, READY_SECONDS);
+    if (!is_successful) {
+        fprintf(stderr, "not all nodes became ready within %g s; logs are in %s\n", READY_SECONDS,
                 fleet->directory);
     } else {
-        lab_run_until(fleet, never, NULL, fleet->scenario->settle_s);
+        lab_run_until(fleet, is_never_done, NULL, fleet->scenario->settle_s);
         cpu_before = sum_node_cpu(fleet);
-        is_good = put_load(fleet, &log);
+        is_successful = run_load(fleet, &log);
     }
     double cpu_s = sum_node_cpu(fleet) - cpu_before;
-    json_t *report = is_good ? read_load_report(fleet) : NULL;
+    json_t *report = is_successful ? read_load_report(fleet) : NULL;
     if (report != NULL) {
-        add_watch(report, watch, &log);
+        add_config_checks(report, watch, &log);
     }
-    /* A node that was started anew a moment ago is stopped once it has begun: how a start is broken
-     * off is judged by tests of its own. */
-    lab_run_until(fleet, lab_watch_running_answer, watch, READY_SECONDS);
+    /* A node that has just been restarted is stopped only after it has started up; interrupting the
+     * start-up is covered by separate tests. */
+    lab_run_until(fleet, lab_watch_all_responsive, watch, READY_SECONDS);
     lab_watch_stop(watch);
     unsigned failed = lab_fleet_stop(fleet);
     if (report == NULL) {
-        fprintf(stderr, "the load generator gave no report; logs are in %s\n", fleet->directory);
+        fprintf(stderr, "no report from the load generator; logs are in %s\n", fleet->directory);
         return TS_EXIT_FAILURE;
     }
     lab_verdict_read(&verdict, fleet->directory, &log);
-    add_verdict(report, &verdict);
+    add_journal_checks(report, &verdict);
     add_cpu(report, &verdict, cpu_s);
-    name_run(report, fleet);
+    add_run_name(report, fleet);
     json_object_set_new(report, "nodes_failed_to_stop", json_integer(failed));
-    bool is_clean_run =
-        is_clean(report) && meets_expectations(fleet->scenario, report) && failed == 0;
+    bool has_passed =
+        has_no_violations(report) && meets_expectations(fleet->scenario, report) && failed == 0;
     write_report(fleet, report);
     json_decref(report);
-    return is_clean_run ? TS_EXIT_OK : TS_EXIT_FAILURE;
+    return has_passed ? TS_EXIT_OK : TS_EXIT_FAILURE;
 }
 
 static lab_scenario_t *load_scenario(const char *path)
@@ -349,17 +353,19 @@
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
     struct arg_file *file = arg_file1(NULL, NULL, "SCENARIO", "scenario (YAML)");
-    struct arg_int *seed = arg_int0(NULL, "seed", "N", "seed (1)");
-    struct arg_file *out = arg_file0(NULL, "out", "DIR", "for files and journals (lab-out/NAME)");
-    struct arg_str *policy = arg_str0(NULL, "policy", "NAME", "in place of the scenario's");
-    struct arg_dbl *seconds = arg_dbl0(NULL, "seconds", "S", "of load, in place of the scenario's");
+    struct arg_int *seed = arg_int0(NULL, "seed", "N", "random seed (1)");
+    struct arg_file *out =
+        arg_file0(NULL, "out", "DIR", "output directory (lab-out/SCENARIO-SEED)");
+    struct arg_str *policy = arg_str0(NULL, "policy", "NAME", "overrides the scenario's policy");
+    struct arg_dbl *seconds =
+        arg_dbl0(NULL, "seconds", "S", "duration of the load, overrides the scenario's");
     struct arg_end *end = arg_end(8);
     void *table[TABLE_SIZE] = {help, file, seed, out, policy, seconds, end};
     int exit_code = TS_EXIT_OK;
     signal(SIGPIPE, SIG_IGN);
     if (ts_command_parse(argc, argv, table, TABLE_SIZE,
-                         "run a scenario; exit 0 when every promise held, 1 when one broke, 2 on "
-                         "wrong arguments",
+                         "run a scenario; exit status 0: all guarantees and expectations met, "
+                         "1: a violation or failure, 2: usage error",
                          &exit_code)) {
         char *directory = out->count > 0 ? g_strdup(out->filename[0])
                                          : g_strdup_printf("lab-out/%s-%d", file->basename[0],
@@ -375,4 +381,4 @@
 
 static const ts_command_t command = {run_run};
 TS_REGISTER_PLUGIN(lab_command_run, TS_PLUGIN_COMMAND, "run", 4, &command,
-                   "run a scenario and check every promise")
+                   "run a scenario and check all guarantees")
--- a/lab/scenario.c
+++ b/lab/scenario.c
@@ -1,4 +1,4 @@
-/** Schema of scenarios. */
+/** YAML schema of scenarios. */
 #include "scenario.h"
 
 #include "tealspar/yaml_load.h"
--- a/lab/searcher.c
+++ b/lab/searcher.c
@@ -1,4 +1,4 @@
-/** `tealspar-lab searcher`: stand-in searchers for declared back ends, many in one process. */
+/** `tealspar-lab searcher`: stand-in searchers for the declared backends, many in one process. */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
@@ -22,7 +22,7 @@
     }
 }
 
-static void stop_loop(uv_signal_t *handle, int number)
+static void handle_stop_signal(uv_signal_t *handle, int number)
 {
     uv_stop(handle->loop);
 }
@@ -35,14 +35,14 @@
     ts_error_t error = ts_http_server_open(&searcher->server, loop, backend->address, &limits,
                                            lab_searcher_handle, searcher);
     if (error != TS_OK) {
-        fprintf(stderr, "searcher %s at %s: %s\n", backend->name, backend->address,
+        fprintf(stderr, "searcher %s: cannot listen on %s: %s\n", backend->name, backend->address,
                 ts_error_text(error));
     }
     return error == TS_OK;
 }
 
-static bool is_wanted(const ts_backend_t *backend, const struct arg_str *zone,
-                      const struct arg_str *name)
+static bool is_selected(const ts_backend_t *backend, const struct arg_str *zone,
+                        const struct arg_str *name)
 {
     return (zone->count == 0 || strcmp(backend->zone, zone->sval[0]) == 0) &&
            (name->count == 0 || strcmp(backend->name, name->sval[0]) == 0);
@@ -55,9 +55,9 @@
     uv_timer_t flush;
     signal(SIGPIPE, SIG_IGN);
     uv_signal_init(loop, &terminate);
-    uv_signal_start(&terminate, stop_loop, SIGTERM);
+    uv_signal_start(&terminate, handle_stop_signal, SIGTERM);
     uv_signal_init(loop, &interrupt);
-    uv_signal_start(&interrupt, stop_loop, SIGINT);
+    uv_signal_start(&interrupt, handle_stop_signal, SIGINT);
     uv_timer_init(loop, &flush);
     uv_timer_start(&flush, flush_journal, JOURNAL_FLUSH_MS, JOURNAL_FLUSH_MS);
     printf("ready\n");
@@ -73,20 +73,22 @@
 {
     struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
     struct arg_file *file = arg_file1("d", "declarations", "FILE", "declarations");
-    struct arg_str *zone = arg_str0(NULL, "zone", "ZONE", "only the back ends of this zone");
-    struct arg_str *name = arg_str0(NULL, "backend", "NAME", "only this back end");
-    struct arg_file *out = arg_file0(NULL, "journal", "FILE", "write a journal of what ran");
-    struct arg_int *seed = arg_int0(NULL, "seed", "N", "seed of the service times");
+    struct arg_str *zone = arg_str0(NULL, "zone", "ZONE", "only the backends of this zone");
+    struct arg_str *name = arg_str0(NULL, "backend", "NAME", "only this backend");
+    struct arg_file *out = arg_file0(NULL, "journal", "FILE", "write a journal of requests");
+    struct arg_int *seed = arg_int0(NULL, "seed", "N", "random seed of the service times (1)");
     struct arg_dbl *mean = arg_dbl0(NULL, "service-ms", "MS", "mean service time (2)");
-    struct arg_dbl *sigma = arg_dbl0(NULL, "sigma", "S", "spread of its logarithm (0.4)");
+    struct arg_dbl *sigma =
+        arg_dbl0(NULL, "sigma", "S", "standard deviation of its logarithm (0.4)");
     struct arg_dbl *stragglers = arg_dbl0(NULL, "stragglers", "PERCENT", "slow requests (0)");
-    struct arg_dbl *factor = arg_dbl0(NULL, "factor", "F", "how much slower at most (50)");
+    struct arg_dbl *factor =
+        arg_dbl0(NULL, "factor", "F", "maximum slowdown of a slow request (50)");
     struct arg_end *end = arg_end(8);
     void *table[TABLE_SIZE] = {help, file,  zone,       name,   out, seed,
                                mean, sigma, stragglers, factor, end};
     int exit_code = TS_EXIT_OK;
     if (ts_command_parse(argc, argv, table, TABLE_SIZE,
-                         "stand-in searchers for the declared back ends", &exit_code)) {
+                         "stand-in searchers for the declared backends", &exit_code)) {
         lab_service_t service = {
             .mean_ms = mean->count > 0 ? mean->dval[0] : 2.0,
             .sigma = sigma->count > 0 ? sigma->dval[0] : 0.4,
@@ -100,7 +102,8 @@
         for (unsigned i = 0; declarations != NULL && i < declarations->backends_count; i++) {
             const ts_backend_t *backend = &declarations->backends[i];
             uint64_t start = seed->count > 0 ? (uint64_t)seed->ival[0] : 1;
-            if (is_wanted(backend, zone, name) && !open_searcher(loop, backend, &service, start)) {
+            if (is_selected(backend, zone, name) &&
+                !open_searcher(loop, backend, &service, start)) {
                 exit_code = TS_EXIT_FAILURE;
             }
         }
--- a/lab/searcher_model.c
+++ b/lab/searcher_model.c
@@ -1,4 +1,4 @@
-/** The behaviour of one stand-in searcher. */
+/** Model of one stand-in searcher. */
 #include "searcher_model.h"
 
 #include <gsl/gsl_randist.h>
@@ -13,15 +13,15 @@
 
 #define HEALTH_LAG_MS 800
 #define LOAD_LAG_MS 500
-#define DRAIN_GRACE_US (2ULL * TS_US_PER_S)
+#define DRAIN_GRACE_PERIOD_US (2ULL * TS_US_PER_S)
 #define QUEUE_PER_SLOT 4U
-#define COLD_SLOW_FACTOR 4.0
+#define COLD_START_FACTOR 4.0
 #define DEFAULT_LIMIT 10
 #define MS_PER_S 1000.0
 
 static const char *const state_names[] = {"serving", "starting", "draining", "shedding", "dead"};
 
-/* ---- journal: "WALL_MS BACKEND EVENT ID SHARD SNAPSHOT NUMBER" ---- */
+/* ---- journal, one line per event: "WALL_MS BACKEND EVENT ID SHARD SNAPSHOT NUMBER" ---- */
 
 static void write_journal(const lab_searcher_t *searcher, const char *event, const char *id,
                           const char *shard, uint64_t snapshot, int64_t number)
@@ -72,13 +72,13 @@
     run_waiting(searcher);
 }
 
-static void take_gone(void *context)
+static void handle_disconnect(void *context)
 {
     lab_request_t *request = context;
     write_journal(request->searcher, "cancel", request->id, request->shard, 0, request->is_running);
-    request->is_gone = true;
+    request->is_abandoned = true;
     if (request->is_running && request->is_unrepeatable) {
-        return; /* what cannot be repeated cannot be undone either: it runs to its end */
+        return; /* an unrepeatable request cannot be undone, so it runs to completion */
     }
     end_request(request);
 }
@@ -94,7 +94,7 @@
 static void finish_service(uv_timer_t *timer)
 {
     lab_request_t *request = timer->data;
-    if (!request->is_gone) {
+    if (!request->is_abandoned) {
         reply_json(request->exchange, 200,
                    lab_record_answer(request->shard, request->query, choose_snapshot(request),
                                      request->limit));
@@ -105,7 +105,7 @@
 static double draw_service_ms(lab_searcher_t *searcher)
 {
     const lab_service_t *service = &searcher->service;
-    /* exp(zeta) is chosen so that the mean of the distribution is mean_ms */
+    /* mean of a log-normal distribution: exp(zeta + sigma^2 / 2) = mean_ms */
     double zeta = log(service->mean_ms) - service->sigma * service->sigma / 2;
     double ms = gsl_ran_lognormal(searcher->random, zeta, service->sigma);
     if (gsl_rng_uniform(searcher->random) * 100.0 < service->straggler_percent) {
@@ -114,7 +114,7 @@
     }
     bool is_cold = searcher->cold_ms > 0 && ts_clock_now_us() - searcher->state_since_us <
                                                 (ts_time_us_t)(searcher->cold_ms * MS_PER_S);
-    return ms * searcher->slow_factor * (is_cold ? COLD_SLOW_FACTOR : 1.0);
+    return ms * searcher->slow_factor * (is_cold ? COLD_START_FACTOR : 1.0);
 }
 
 static void run_request(lab_request_t *request)
@@ -122,18 +122,18 @@
     lab_searcher_t *searcher = request->searcher;
     request->is_running = true;
     g_ptr_array_add(searcher->running, request);
-    searcher->most_running = MAX(searcher->most_running, searcher->running->len);
+    searcher->max_running = MAX(searcher->max_running, searcher->running->len);
     write_journal(searcher, "run", request->id, request->shard, searcher->snapshot,
                   request->is_unrepeatable);
     double ms = draw_service_ms(searcher);
-    /* libuv counts whole milliseconds: the rest is drawn, so that the mean is kept */
-    double rest = ms - floor(ms);
-    uint64_t whole = (uint64_t)ms + (gsl_rng_uniform(searcher->random) < rest ? 1 : 0);
-    uv_timer_start(&request->timer, finish_service, whole, 0);
+    /* libuv timers have a resolution of 1 ms: rounding up or down at random preserves the mean */
+    double fraction = ms - floor(ms);
+    uint64_t timeout_ms = (uint64_t)ms + (gsl_rng_uniform(searcher->random) < fraction ? 1 : 0);
+    uv_timer_start(&request->timer, finish_service, timeout_ms, 0);
 }
 
-/* The caller has given up by now: says so without having run the request. */
-static void refuse_late(lab_request_t *request)
+/* Refuses a queued request after its deadline without running it: the client has given up. */
+static void refuse_expired(lab_request_t *request)
 {
     write_journal(request->searcher, "late", request->id, request->shard, 0, 0);
     refuse(request->exchange, 503, "past_deadline");
@@ -146,14 +146,14 @@
            !g_queue_is_empty(searcher->waiting)) {
         lab_request_t *request = g_queue_pop_head(searcher->waiting);
         if (request->deadline_us <= ts_clock_now_us()) {
-            refuse_late(request);
+            refuse_expired(request);
         } else {
             run_request(request);
         }
     }
 }
 
-/* ---- taking ---- */
+/* ---- requests ---- */
 
 static bool holds_shard(const lab_searcher_t *searcher, const char *shard)
 {
@@ -185,8 +185,8 @@
     return request;
 }
 
-/* Why a searcher in this state takes no work, or NULL. */
-static const char *refusal_of_state(const lab_searcher_t *searcher)
+/* Returns the error with which the current state refuses requests, or NULL if it accepts them. */
+static const char *find_state_refusal(const lab_searcher_t *searcher)
 {
     ts_time_us_t span_us = ts_clock_now_us() - searcher->state_since_us;
     switch (searcher->state) {
@@ -195,7 +195,7 @@
     case LAB_SHEDDING:
         return "shedding";
     case LAB_DRAINING:
-        return span_us > DRAIN_GRACE_US ? "draining" : NULL;
+        return span_us > DRAIN_GRACE_PERIOD_US ? "draining" : NULL;
     default:
         return NULL;
     }
@@ -206,7 +206,7 @@
 {
     json_t *root = json_loadb(http->body, http->body_length, 0, NULL);
     const char *shard = json_string_value(json_object_get(root, "shard"));
-    const char *refusal = refusal_of_state(searcher);
+    const char *refusal = find_state_refusal(searcher);
     if (searcher->state == LAB_DRAINING) {
         const char *id = json_string_value(json_object_get(root, "id"));
         int64_t since_ms = (int64_t)((ts_clock_now_us() - searcher->state_since_us) / TS_US_PER_MS);
@@ -224,7 +224,7 @@
         refuse(exchange, 404, "wrong_shard");
     } else {
         lab_request_t *request = create_request(searcher, exchange, root);
-        ts_http_watch(exchange, take_gone, request);
+        ts_http_watch(exchange, handle_disconnect, request);
         if (searcher->running->len < searcher->backend->slots) {
             run_request(request);
         } else {
@@ -243,16 +243,16 @@
     searcher->reported = searcher->state;
 }
 
-/* The load endpoint shows what was true a while ago. */
+/* The load endpoint reports outdated values on purpose: those of the sample before the last. */
 static void refresh_load(lab_searcher_t *searcher)
 {
     ts_time_us_t now_us = ts_clock_now_us();
-    if (now_us - searcher->load_seen_us > LOAD_LAG_MS * TS_US_PER_MS) {
-        searcher->load_seen_us = now_us;
-        searcher->shown_running = searcher->seen_running;
-        searcher->shown_waiting = searcher->seen_waiting;
-        searcher->seen_running = searcher->running->len;
-        searcher->seen_waiting = searcher->waiting->length;
+    if (now_us - searcher->load_sampled_us > LOAD_LAG_MS * TS_US_PER_MS) {
+        searcher->load_sampled_us = now_us;
+        searcher->reported_running = searcher->sampled_running;
+        searcher->reported_waiting = searcher->sampled_waiting;
+        searcher->sampled_running = searcher->running->len;
+        searcher->sampled_waiting = searcher->waiting->length;
     }
 }
 
@@ -261,14 +261,15 @@
     refresh_load(searcher);
     reply_json(exchange, 200,
                json_pack("{s:i, s:i, s:i}", "slots", (int)searcher->backend->slots, "running",
-                         (int)searcher->shown_running, "waiting", (int)searcher->shown_waiting));
+                         (int)searcher->reported_running, "waiting",
+                         (int)searcher->reported_waiting));
 }
 
 static void set_state(lab_searcher_t *searcher, lab_searcher_state_t state)
 {
     searcher->state = state;
     searcher->state_since_us = ts_clock_now_us();
-    uv_timer_start(&searcher->lag, report_state, HEALTH_LAG_MS, 0);
+    uv_timer_start(&searcher->report_timer, report_state, HEALTH_LAG_MS, 0);
     write_journal(searcher, state_names[state], "-", "-", searcher->snapshot, 0);
 }
 
@@ -294,8 +295,8 @@
 {
     const json_t *value = json_object_get(root, "snapshot");
     if (json_is_integer(value)) {
-        bool keeps = json_is_true(json_object_get(root, "keep_previous"));
-        searcher->previous_snapshot = keeps ? searcher->snapshot : 0;
+        bool keep_previous = json_is_true(json_object_get(root, "keep_previous"));
+        searcher->previous_snapshot = keep_previous ? searcher->snapshot : 0;
         searcher->snapshot = (uint64_t)json_integer_value(value);
         write_journal(searcher, "snapshot", "-", "-", searcher->snapshot, 0);
     }
@@ -325,17 +326,18 @@
     json_decref(root);
     reply_json(exchange, 200,
                json_pack("{s:s, s:I, s:i, s:i}", "state", state_names[searcher->state], "snapshot",
-                         (json_int_t)searcher->snapshot, "most_running",
-                         (int)searcher->most_running, "connections",
-                         (int)ts_http_server_connections(searcher->server)));
+                         (json_int_t)searcher->snapshot, "most_running", (int)searcher->max_running,
+                         "connections", (int)ts_http_server_connections(searcher->server)));
 }
 
 static void handle_health(const lab_searcher_t *searcher, ts_http_exchange_t *exchange)
 {
     const char *state = state_names[searcher->reported];
-    const char *shown = searcher->reported == LAB_SHEDDING ? "serving" : state;
-    reply_json(exchange, 200,
-               json_pack("{s:s, s:I}", "state", shown, "snapshot", (json_int_t)searcher->snapshot));
+    /* a shedding searcher is healthy: shedding shows only in its replies */
+    const char *health = searcher->reported == LAB_SHEDDING ? "serving" : state;
+    reply_json(
+        exchange, 200,
+        json_pack("{s:s, s:I}", "state", health, "snapshot", (json_int_t)searcher->snapshot));
 }
 
 void lab_searcher_handle(void *context, ts_http_exchange_t *exchange, const ts_http_request_t *http)
@@ -372,7 +374,7 @@
     for (unsigned i = 0; i < backend->shards_count; i++) {
         searcher->shards[i] = g_strdup(backend->shards[i]);
     }
-    uv_timer_init(loop, &searcher->lag);
-    searcher->lag.data = searcher;
+    uv_timer_init(loop, &searcher->report_timer);
+    searcher->report_timer.data = searcher;
     return searcher;
 }
--- a/lab/searcher_model.h
+++ b/lab/searcher_model.h
@@ -1,4 +1,7 @@
-/** The behaviour of one stand-in searcher: slots, service times, states. Belongs to one loop. */
+/**
+ * Model of one stand-in searcher: slots, queue, service times and states. Not thread-safe; used
+ * from one event loop.
+ */
 #ifndef TEALSPAR_LAB_SEARCHER_MODEL_H
 #define TEALSPAR_LAB_SEARCHER_MODEL_H
 
@@ -11,20 +14,20 @@
 #include "tealspar/declarations-t.h"
 #include "tealspar/http_server.h"
 
-/** How long a request takes, before any straggling. */
+/** Distribution of service times: log-normal, with a percentage of slow requests. */
 typedef struct lab_service {
-    double mean_ms;
-    double sigma;               /**< of the logarithm */
-    double straggler_percent;   /**< of requests */
-    double straggler_factor[2]; /**< least and most */
+    double mean_ms;             /**< mean without slow requests */
+    double sigma;               /**< standard deviation of the logarithm */
+    double straggler_percent;   /**< percentage of slow requests */
+    double straggler_factor[2]; /**< minimum and maximum slowdown of a slow request */
 } lab_service_t;
 
 typedef enum lab_searcher_state {
     LAB_SERVING,
-    LAB_STARTING, /**< refuses; after `cold_ms` it serves, slowly at first */
-    LAB_DRAINING, /**< serves for a grace time, then refuses */
-    LAB_SHEDDING, /**< refuses everything */
-    LAB_DEAD      /**< closes every connection */
+    LAB_STARTING, /**< refuses all requests */
+    LAB_DRAINING, /**< serves for a grace period, then refuses */
+    LAB_SHEDDING, /**< refuses all requests but reports itself as serving */
+    LAB_DEAD      /**< closes the connection of each request without a reply */
 } lab_searcher_state_t;
 
 typedef struct lab_searcher {
@@ -33,27 +36,27 @@
     lab_service_t service;
     lab_searcher_state_t state;
     ts_time_us_t state_since_us;
-    lab_searcher_state_t reported; /**< what the health endpoint says; lags */
-    double slow_factor;            /**< of every request; 1 when well */
-    double cold_ms;
+    lab_searcher_state_t reported; /**< state in health replies; follows `state` with a delay */
+    double slow_factor;            /**< slowdown of all requests; 1: none */
+    double cold_ms;                /**< requests are slow for this long after a state change */
     uint64_t snapshot;
-    uint64_t previous_snapshot; /**< still served when asked for; 0: none */
-    char **shards;              /**< NULL-terminated; may change by repartition */
+    uint64_t previous_snapshot; /**< still served on request; 0: none */
+    char **shards;              /**< NULL-terminated; changed by repartition */
     GPtrArray *running;         /**< of lab_request_t */
     GQueue *waiting;            /**< of lab_request_t */
-    unsigned most_running;
-    ts_time_us_t load_seen_us; /**< when the load was last looked at, for its endpoint */
-    unsigned seen_running;
-    unsigned seen_waiting;
-    unsigned shown_running; /**< what the load endpoint says; lags by up to a second */
-    unsigned shown_waiting;
+    unsigned max_running;
+    ts_time_us_t load_sampled_us; /**< time of the last sample for the load endpoint */
+    unsigned sampled_running;
+    unsigned sampled_waiting;
+    unsigned reported_running; /**< value of the load endpoint: the sample before the last */
+    unsigned reported_waiting;
     gsl_rng *random;
     FILE *journal;
     ts_http_server_t *server;
-    uv_timer_t lag;
+    uv_timer_t report_timer; /**< delays updates of `reported` */
 } lab_searcher_t;
 
-/** One request at a searcher. */
+/** A request that a searcher has accepted. */
 typedef struct lab_request {
     lab_searcher_t *searcher;
     ts_http_exchange_t *exchange;
@@ -63,16 +66,19 @@
     char *query;
     unsigned limit;
     uint64_t wanted_snapshot;
-    ts_time_us_t deadline_us; /**< a request that waits past it is not begun any more */
+    ts_time_us_t deadline_us; /**< if still queued at this time, the request is refused */
     bool is_unrepeatable;
     bool is_running;
-    bool is_gone; /**< the caller has closed */
+    bool is_abandoned; /**< the client has closed the connection */
 } lab_request_t;
 
-/** Makes a searcher for a back end; it serves when opened by ts_http_server_open. */
+/**
+ * Creates a searcher for a backend. The caller opens `server` with lab_searcher_handle as its
+ * handler.
+ */
 lab_searcher_t *lab_searcher_create(uv_loop_t *loop, const ts_backend_t *backend,
                                     const lab_service_t *service, uint64_t seed, FILE *journal);
-/** Serves one request: /search, /health, /load, /control. */
+/** Handles a request to /health, /load or /control; all other paths are searches. */
 void lab_searcher_handle(void *searcher, ts_http_exchange_t *exchange,
                          const ts_http_request_t *request);
 
--- a/lab/sim.c
+++ b/lab/sim.c
@@ -1,4 +1,4 @@
-/** The simulator: virtual time, nodes and faults. */
+/** Simulator: event queue, virtual clock, nodes and faults. */
 #include "sim_internal.h"
 
 #include <string.h>
@@ -6,13 +6,13 @@
 #include "tealspar/hash.h"
 #include "tealspar/log.h"
 
-/* Virtual time begins here, so that no time is zero; the wall clock begins in 2026. */
-#define BEGIN_US (1000ULL * TS_US_PER_S)
-#define WALL_BEGIN_MS 1790000000000LL
+/* The virtual clock starts above 0, since a time of 0 means "unset"; the wall clock in 2026. */
+#define START_US (1000ULL * TS_US_PER_S)
+#define WALL_START_MS 1790000000000LL
 #define QUERIES_MAX 100000U
 #define DRAIN_MS 10000U
-#define WORK_US 1000ULL
-#define STOP_CHECK_US (10ULL * TS_US_PER_MS)
+#define WORK_DURATION_US 1000ULL
+#define SHUTDOWN_POLL_US (10ULL * TS_US_PER_MS)
 #define RANDOM_SCALE 18446744073709551616.0
 
 static lab_sim_t *current;
@@ -24,10 +24,10 @@
 
 static int64_t virtual_wall_ms(void)
 {
-    return WALL_BEGIN_MS + (int64_t)(current->now_us / TS_US_PER_MS);
+    return WALL_START_MS + (int64_t)(current->now_us / TS_US_PER_MS);
 }
 
-/* ---- the heap of events ---- */
+/* ---- event heap ---- */
 
 static bool is_earlier(const lab_sim_event_t *left, const lab_sim_event_t *right)
 {
@@ -57,19 +57,19 @@
     g_ptr_array_set_size(sim->heap, (gint)count);
     guint at = 0;
     for (;;) {
-        guint least = at;
+        guint earliest = at;
         for (guint child = 2 * at + 1; child <= 2 * at + 2 && child < count; child++) {
-            if (is_earlier(items[child], items[least])) {
-                least = child;
+            if (is_earlier(items[child], items[earliest])) {
+                earliest = child;
             }
         }
-        if (least == at) {
+        if (earliest == at) {
             return first;
         }
         gpointer swapped = items[at];
-        items[at] = items[least];
-        items[least] = swapped;
-        at = least;
+        items[at] = items[earliest];
+        items[earliest] = swapped;
+        at = earliest;
     }
 }
 
@@ -81,7 +81,7 @@
     event->due_us = sim->now_us + after_us;
     event->sequence = sim->sequence++;
     event->node = node;
-    event->generation = node == LAB_SIM_WORLD ? 0 : sim->nodes[node].generation;
+    event->generation = node == LAB_SIM_NO_NODE ? 0 : sim->nodes[node].generation;
     event->fire = fire;
     event->drop = drop;
     event->context = context;
@@ -91,7 +91,7 @@
 
 static void drop_event(lab_sim_event_t *event)
 {
-    if (!event->is_dead && event->drop != NULL) {
+    if (!event->is_cancelled && event->drop != NULL) {
         event->drop(event->context);
     }
     g_free(event);
@@ -99,7 +99,7 @@
 
 static void fire_event(lab_sim_t *sim, lab_sim_event_t *event)
 {
-    if (event->node != LAB_SIM_WORLD && !event->is_dead) {
+    if (event->node != LAB_SIM_NO_NODE && !event->is_cancelled) {
         lab_sim_node_t *node = &sim->nodes[event->node];
         if (node->generation != event->generation) {
             drop_event(event);
@@ -111,14 +111,14 @@
             return;
         }
     }
-    if (!event->is_dead) {
+    if (!event->is_cancelled) {
         sim->steps++;
         event->fire(event->context);
     }
     g_free(event);
 }
 
-void lab_sim_run(lab_sim_t *sim, ts_time_us_t span_us)
+void lab_sim_advance(lab_sim_t *sim, ts_time_us_t span_us)
 {
     ts_time_us_t until_us = sim->now_us + span_us;
     while (sim->heap->len > 0) {
@@ -132,10 +132,10 @@
     sim->now_us = until_us;
 }
 
-void lab_sim_at(lab_sim_t *sim, ts_time_us_t at_us, void (*fire)(void *context), void *context)
+void lab_sim_call_at(lab_sim_t *sim, ts_time_us_t at_us, void (*fire)(void *context), void *context)
 {
     ts_time_us_t after_us = at_us > sim->now_us ? at_us - sim->now_us : 0;
-    lab_sim_schedule(sim, LAB_SIM_WORLD, after_us, fire, NULL, context);
+    lab_sim_schedule(sim, LAB_SIM_NO_NODE, after_us, fire, NULL, context);
 }
 
 ts_time_us_t lab_sim_now_us(const lab_sim_t *sim)
@@ -161,7 +161,7 @@
     return (double)lab_sim_random(sim) / RANDOM_SCALE;
 }
 
-/* ---- the runtime of a node ---- */
+/* ---- runtime operations of a node ---- */
 
 static void fire_timer(void *context)
 {
@@ -178,12 +178,12 @@
     timer->fired(timer);
 }
 
-static void forget_timer(ts_timer_t *timer)
+static void cancel_timer(ts_timer_t *timer)
 {
     lab_sim_node_t *node = (lab_sim_node_t *)timer->runtime;
     lab_sim_event_t *event = g_hash_table_lookup(node->timers, timer);
     if (event != NULL) {
-        event->is_dead = true;
+        event->is_cancelled = true;
         g_hash_table_remove(node->timers, timer);
     }
 }
@@ -195,13 +195,13 @@
 static void start_timer(ts_timer_t *timer, uint64_t after_ms)
 {
     lab_sim_node_t *node = (lab_sim_node_t *)timer->runtime;
-    forget_timer(timer);
+    cancel_timer(timer);
     lab_sim_event_t *event = lab_sim_schedule(node->sim, (int)node->index, after_ms * TS_US_PER_MS,
                                               fire_timer, NULL, timer);
     g_hash_table_insert(node->timers, timer, event);
 }
 
-static void fire_closed(void *context)
+static void handle_timer_closed(void *context)
 {
     ts_timer_t *timer = context;
     if (timer->closed != NULL) {
@@ -212,24 +212,25 @@
 static void close_timer(ts_timer_t *timer)
 {
     lab_sim_node_t *node = (lab_sim_node_t *)timer->runtime;
-    forget_timer(timer);
-    /* the world's, so that memory is freed even when the node ends first */
-    lab_sim_schedule(node->sim, LAB_SIM_WORLD, 0, fire_closed, fire_closed, timer);
+    cancel_timer(timer);
+    /* not bound to the node, so that the timer is freed even if the node ends first */
+    lab_sim_schedule(node->sim, LAB_SIM_NO_NODE, 0, handle_timer_closed, handle_timer_closed,
+                     timer);
 }
 
-/* The work is done at once and takes no virtual time but a little. */
-static void do_work(ts_runtime_t *runtime, void (*run)(void *context), void (*done)(void *context),
-                    void (*drop)(void *context), void *context)
+/* Runs the work at once; its completion follows after a fixed virtual time. */
+static void run_work(ts_runtime_t *runtime, void (*run)(void *context), void (*done)(void *context),
+                     void (*drop)(void *context), void *context)
 {
     lab_sim_node_t *node = (lab_sim_node_t *)runtime;
     run(context);
-    lab_sim_schedule(node->sim, (int)node->index, WORK_US, done, drop, context);
+    lab_sim_schedule(node->sim, (int)node->index, WORK_DURATION_US, done, drop, context);
 }
 
-static void drain_node(void *context)
+static void run_tasks(void *context)
 {
     lab_sim_node_t *node = context;
-    node->is_drain_due = false;
+    node->is_drain_scheduled = false;
     while (ts_tasks_drain(node->node.tasks)) {
     }
 }
@@ -237,9 +238,9 @@
 static void wake_node(ts_runtime_t *runtime)
 {
     lab_sim_node_t *node = (lab_sim_node_t *)runtime;
-    if (!node->is_drain_due) {
-        node->is_drain_due = true;
-        lab_sim_schedule(node->sim, (int)node->index, 0, drain_node, NULL, node);
+    if (!node->is_drain_scheduled) {
+        node->is_drain_scheduled = true;
+        lab_sim_schedule(node->sim, (int)node->index, 0, run_tasks, NULL, node);
     }
 }
 
@@ -263,18 +264,18 @@
 bool lab_sim_is_connected(const lab_sim_t *sim, const lab_sim_node_t *from,
                           const lab_sim_node_t *to)
 {
-    bool is_zone_cut =
-        from->zone != to->zone && (sim->is_zone_cut[from->zone] || sim->is_zone_cut[to->zone]);
-    return !is_zone_cut && !from->is_isolated && !to->is_isolated;
+    bool is_zone_partitioned = from->zone != to->zone && (sim->is_zone_partitioned[from->zone] ||
+                                                          sim->is_zone_partitioned[to->zone]);
+    return !is_zone_partitioned && !from->is_isolated && !to->is_isolated;
 }
 
 static void start_node(lab_sim_t *sim, lab_sim_node_t *node)
 {
-    static const ts_runtime_ops_t ops = {init_timer,  start_timer, forget_timer,
-                                         close_timer, do_work,     wake_node};
+    static const ts_runtime_ops_t ops = {init_timer,  start_timer, cancel_timer,
+                                         close_timer, run_work,    wake_node};
     node->runtime.ops = &ops;
     node->is_running = true;
-    node->is_drain_due = false;
+    node->is_drain_scheduled = false;
     node->paused_until_us = 0;
     memset(&node->node, 0, sizeof(node->node));
     ts_node_init(&node->node, &node->runtime, &node->settings, (uint64_t)virtual_wall_ms());
@@ -296,11 +297,11 @@
     lab_sim_mesh_clear(node);
     g_hash_table_iter_init(&iterator, node->timers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ((lab_sim_event_t *)value)->is_dead = true;
+        ((lab_sim_event_t *)value)->is_cancelled = true;
     }
     g_hash_table_remove_all(node->timers);
     node->generation++;
-    lab_sim_tell_lost(sim, node);
+    lab_sim_notify_disconnect(sim, node);
 }
 
 void lab_sim_kill(lab_sim_t *sim, unsigned index)
@@ -315,14 +316,14 @@
     }
 }
 
-static void check_stopped(void *context)
+static void poll_shutdown(void *context)
 {
     lab_sim_node_t *node = context;
     if (ts_node_is_idle(&node->node)) {
         end_node(node->sim, node);
         return;
     }
-    lab_sim_schedule(node->sim, (int)node->index, STOP_CHECK_US, check_stopped, NULL, node);
+    lab_sim_schedule(node->sim, (int)node->index, SHUTDOWN_POLL_US, poll_shutdown, NULL, node);
 }
 
 void lab_sim_stop(lab_sim_t *sim, unsigned index)
@@ -330,7 +331,7 @@
     lab_sim_node_t *node = &sim->nodes[index];
     if (node->is_running && !node->node.stopping) {
         ts_node_leave(&node->node);
-        lab_sim_schedule(sim, (int)index, STOP_CHECK_US, check_stopped, NULL, node);
+        lab_sim_schedule(sim, (int)index, SHUTDOWN_POLL_US, poll_shutdown, NULL, node);
     }
 }
 
@@ -339,9 +340,9 @@
     sim->nodes[index].paused_until_us = sim->now_us + span_us;
 }
 
-void lab_sim_cut(lab_sim_t *sim, unsigned zone, bool is_cut)
+void lab_sim_partition_zone(lab_sim_t *sim, unsigned zone, bool is_partitioned)
 {
-    sim->is_zone_cut[zone] = is_cut;
+    sim->is_zone_partitioned[zone] = is_partitioned;
 }
 
 void lab_sim_isolate(lab_sim_t *sim, unsigned node, bool is_isolated)
@@ -357,8 +358,8 @@
 ts_front_t *lab_sim_front(lab_sim_t *sim, unsigned index)
 {
     lab_sim_node_t *node = &sim->nodes[index];
-    bool serves = node->is_running && node->paused_until_us <= sim->now_us;
-    return serves ? ts_node_state(&node->node, "front") : NULL;
+    bool is_available = node->is_running && node->paused_until_us <= sim->now_us;
+    return is_available ? ts_node_state(&node->node, "front") : NULL;
 }
 
 void lab_sim_set_platform(lab_sim_t *sim, const char *text)
@@ -379,7 +380,7 @@
     sim->requests = 0;
 }
 
-/* ---- making and ending ---- */
+/* ---- creation and destruction ---- */
 
 static void prepare_node(lab_sim_t *sim, lab_sim_node_t *node, unsigned index, unsigned zone,
                          unsigned number)
@@ -417,7 +418,7 @@
     lab_sim_t *sim = g_new0(lab_sim_t, 1);
     sim->config = *config;
     sim->observer = *observer;
-    sim->now_us = BEGIN_US;
+    sim->now_us = START_US;
     sim->random = ts_hash_mix(config->seed, 1) | 1U;
     sim->heap = g_ptr_array_new();
     current = sim;
@@ -431,7 +432,7 @@
     lab_sim_set_platform(sim, config->declarations);
     prepare_searchers(sim);
     unsigned zones = sim->declarations->zones_count;
-    sim->is_zone_cut = g_new0(bool, zones);
+    sim->is_zone_partitioned = g_new0(bool, zones);
     sim->node_count = zones * config->nodes_per_zone;
     sim->nodes = g_new0(lab_sim_node_t, sim->node_count);
     for (unsigned i = 0; i < sim->node_count; i++) {
@@ -462,7 +463,7 @@
     }
     g_free(sim->searchers);
     g_free(sim->nodes);
-    g_free(sim->is_zone_cut);
+    g_free(sim->is_zone_partitioned);
     g_free(sim->platform_text);
     g_ptr_array_free(sim->heap, TRUE);
     ts_declarations_unref(sim->declarations);
--- a/lab/sim_mesh.c
+++ b/lab/sim_mesh.c
@@ -1,4 +1,4 @@
-/** The simulated mesh: frames of the real codec between simulated nodes. */
+/** Simulated mesh: transfers frames, encoded by the production codec, between simulated nodes. */
 #include <string.h>
 
 #include "sim_internal.h"
@@ -6,12 +6,12 @@
 #include "tealspar/wire.h"
 
 #define PERCENT 100.0
-/* A frame that meets a cut is lost, or held and tried again, as TCP would. */
-#define HELD_PART 0.5
-#define HELD_US (500ULL * TS_US_PER_MS)
-#define LOST_NOTICE_US 2000ULL
+/* A frame that meets a partition is either lost or retransmitted later, as TCP would do. */
+#define RETRANSMIT_FRACTION 0.5
+#define RETRANSMIT_US (500ULL * TS_US_PER_MS)
+#define DISCONNECT_DELAY_US 2000ULL
 
-/* A frame on its way. */
+/* A frame in transit. */
 typedef struct frame {
     lab_sim_t *sim;
     unsigned from;
@@ -27,14 +27,14 @@
     g_free(frame);
 }
 
-static ts_wire_identity_t identify(const lab_sim_node_t *node)
+static ts_wire_identity_t make_identity(const lab_sim_node_t *node)
 {
     ts_wire_identity_t identity = {node->settings.cluster, node->settings.name,
                                    node->settings.advertise, node->node.incarnation};
     return identity;
 }
 
-/* ---- delivering ---- */
+/* ---- delivery ---- */
 
 static void deliver_message(void *context, ts_message_t *message)
 {
@@ -61,25 +61,26 @@
     ts_task_send(ts_task_find(node->node.tasks, receiver), message);
 }
 
-static void take_frame(void *context)
+static void receive_frame(void *context)
 {
     frame_t *frame = context;
     lab_sim_node_t *to = &frame->sim->nodes[frame->to];
-    ts_wire_identity_t identity = identify(to);
+    ts_wire_identity_t identity = make_identity(to);
     ts_wire_frame_unpack(&identity, frame->bytes, frame->length, deliver_message, to);
     free_frame(frame);
 }
 
-/* Arrives at the machine: a paused process finds it when it wakes up. */
-static void arrive_frame(void *context)
+/* Arrival at the host. A suspended process receives the frame when it resumes. */
+static void handle_arrival(void *context)
 {
     frame_t *frame = context;
     lab_sim_t *sim = frame->sim;
     const lab_sim_node_t *from = &sim->nodes[frame->from];
     const lab_sim_node_t *to = &sim->nodes[frame->to];
     if (!lab_sim_is_connected(sim, from, to)) {
-        if (lab_sim_uniform(sim) < HELD_PART) {
-            lab_sim_schedule(sim, LAB_SIM_WORLD, HELD_US, arrive_frame, free_frame, frame);
+        if (lab_sim_uniform(sim) < RETRANSMIT_FRACTION) {
+            lab_sim_schedule(sim, LAB_SIM_NO_NODE, RETRANSMIT_US, handle_arrival, free_frame,
+                             frame);
         } else {
             free_frame(frame);
         }
@@ -89,7 +90,7 @@
         free_frame(frame);
         return;
     }
-    lab_sim_schedule(sim, (int)frame->to, 0, take_frame, free_frame, frame);
+    lab_sim_schedule(sim, (int)frame->to, 0, receive_frame, free_frame, frame);
 }
 
 /* ---- sending ---- */
@@ -101,8 +102,8 @@
     return (ts_time_us_t)(ms * (double)TS_US_PER_MS);
 }
 
-static void post_frame(lab_sim_node_t *from, const lab_sim_node_t *to, const uint8_t *bytes,
-                       size_t length)
+static void schedule_frame(lab_sim_node_t *from, const lab_sim_node_t *to, const uint8_t *bytes,
+                           size_t length)
 {
     lab_sim_t *sim = from->sim;
     frame_t *frame = g_new0(frame_t, 1);
@@ -111,7 +112,7 @@
     frame->to = to->index;
     frame->bytes = g_memdup2(bytes, length);
     frame->length = length;
-    lab_sim_schedule(sim, LAB_SIM_WORLD, draw_delay(sim, from, to), arrive_frame, free_frame,
+    lab_sim_schedule(sim, LAB_SIM_NO_NODE, draw_delay(sim, from, to), handle_arrival, free_frame,
                      frame);
 }
 
@@ -119,7 +120,7 @@
 {
     lab_sim_t *sim = node->sim;
     const lab_sim_node_t *to = lab_sim_find_node(sim, peer);
-    ts_wire_identity_t identity = identify(node);
+    ts_wire_identity_t identity = make_identity(node);
     bool is_dropped = lab_sim_uniform(sim) * PERCENT < sim->config.drop_percent;
     if (to == NULL || is_dropped) {
         return;
@@ -130,9 +131,9 @@
     uint8_t *bytes = g_malloc(length);
     ts_wire_frame_pack(frame, bytes);
     ts_wire_frame_free(frame);
-    post_frame(node, to, bytes, length);
-    if (lab_sim_uniform(sim) * PERCENT < sim->config.double_percent) {
-        post_frame(node, to, bytes, length);
+    schedule_frame(node, to, bytes, length);
+    if (lab_sim_uniform(sim) * PERCENT < sim->config.duplicate_percent) {
+        schedule_frame(node, to, bytes, length);
     }
     g_free(bytes);
 }
@@ -146,7 +147,7 @@
     g_ptr_array_free(messages, TRUE);
 }
 
-/* Hash tables have no order that is the same in every run: peers are sent to by their id. */
+/* Sorts peers by id: the iteration order of a hash table would make runs non-deterministic. */
 static gint compare_ids(gconstpointer left, gconstpointer right)
 {
     uint64_t left_id = *(const uint64_t *)left;
@@ -154,7 +155,7 @@
     return left_id < right_id ? -1 : left_id > right_id;
 }
 
-static void flush(void *state)
+static void flush_pending(void *state)
 {
     lab_sim_node_t *node = state;
     GList *peers = g_list_sort(g_hash_table_get_keys(node->pending), compare_ids);
@@ -178,7 +179,7 @@
     g_hash_table_remove_all(node->pending);
 }
 
-static void keep_for(lab_sim_node_t *node, uint64_t peer, ts_message_t *message)
+static void queue_message(lab_sim_node_t *node, uint64_t peer, ts_message_t *message)
 {
     GPtrArray *messages = g_hash_table_lookup(node->pending, &peer);
     if (messages == NULL) {
@@ -196,19 +197,19 @@
     lab_sim_node_t *node = state;
     switch (message->type) {
     case TS_MESSAGE_SUBREQUESTS:
-        keep_for(node, ((ts_subrequests_message_t *)message)->peer, message);
+        queue_message(node, ((ts_subrequests_message_t *)message)->peer, message);
         break;
     case TS_MESSAGE_SUBREPLIES:
-        keep_for(node, ((ts_subreply_message_t *)message)->peer, message);
+        queue_message(node, ((ts_subreply_message_t *)message)->peer, message);
         break;
     case TS_MESSAGE_CANCEL:
-        keep_for(node, ((ts_cancel_message_t *)message)->peer, message);
+        queue_message(node, ((ts_cancel_message_t *)message)->peer, message);
         break;
     case TS_MESSAGE_GOSSIP:
-        keep_for(node, ts_hash_text(((ts_gossip_message_t *)message)->peer_name), message);
+        queue_message(node, ts_hash_text(((ts_gossip_message_t *)message)->peer_name), message);
         break;
     case TS_MESSAGE_DOCUMENT:
-        keep_for(node, ts_hash_text(((ts_document_message_t *)message)->peer_name), message);
+        queue_message(node, ts_hash_text(((ts_document_message_t *)message)->peer_name), message);
         break;
     default:
         break;
@@ -217,70 +218,72 @@
 
 /* ---- lost connections ---- */
 
-typedef struct notice {
+typedef struct disconnect {
     lab_sim_t *sim;
     unsigned to;
     uint64_t lost;
-} notice_t;
+} disconnect_t;
 
-static void give_notice(void *context)
+static void report_disconnect(void *context)
 {
-    notice_t *notice = context;
-    const lab_sim_node_t *to = &notice->sim->nodes[notice->to];
-    const lab_sim_node_t *lost = lab_sim_find_node(notice->sim, notice->lost);
+    disconnect_t *disconnect = context;
+    const lab_sim_node_t *to = &disconnect->sim->nodes[disconnect->to];
+    const lab_sim_node_t *lost = lab_sim_find_node(disconnect->sim, disconnect->lost);
     ts_task_send(ts_task_find(to->node.tasks, "front"),
-                 &ts_peer_message(notice->lost, lost->settings.name)->head);
+                 &ts_peer_message(disconnect->lost, lost->settings.name)->head);
     ts_task_send(ts_task_find(to->node.tasks, "membership"),
-                 &ts_peer_message(notice->lost, lost->settings.name)->head);
-    g_free(notice);
+                 &ts_peer_message(disconnect->lost, lost->settings.name)->head);
+    g_free(disconnect);
 }
 
-void lab_sim_tell_lost(lab_sim_t *sim, const lab_sim_node_t *lost)
+void lab_sim_notify_disconnect(lab_sim_t *sim, const lab_sim_node_t *lost)
 {
     for (unsigned i = 0; i < sim->node_count; i++) {
         const lab_sim_node_t *node = &sim->nodes[i];
         if (node == lost || !node->is_running || !lab_sim_is_connected(sim, node, lost)) {
             continue;
         }
-        notice_t *notice = g_new0(notice_t, 1);
-        notice->sim = sim;
-        notice->to = i;
-        notice->lost = ts_hash_text(lost->settings.name);
-        lab_sim_schedule(sim, (int)i, LOST_NOTICE_US, give_notice, g_free, notice);
+        disconnect_t *disconnect = g_new0(disconnect_t, 1);
+        disconnect->sim = sim;
+        disconnect->to = i;
+        disconnect->lost = ts_hash_text(lost->settings.name);
+        lab_sim_schedule(sim, (int)i, DISCONNECT_DELAY_US, report_disconnect, g_free, disconnect);
     }
 }
 
-/* ---- the task ---- */
+/* ---- tasks ---- */
 
 static ts_error_t open_mesh(ts_node_t *node)
 {
     lab_sim_node_t *simulated = lab_sim_node_of(node);
     simulated->mesh = ts_task_create(node->tasks, "mesh", handle_message, simulated);
-    ts_task_on_drained(simulated->mesh, flush);
+    ts_task_on_drained(simulated->mesh, flush_pending);
     return TS_OK;
 }
 
-/* Watches what is put in force, for the observer. */
-static void watch_declarations(void *state, ts_message_t *message)
+/* Reports configurations that become effective to the observer. */
+static void handle_declarations(void *state, ts_message_t *message)
 {
     lab_sim_node_t *node = state;
     if (message->type == TS_MESSAGE_DECLARATIONS) {
-        /* by the text, so that a node that miscounts versions is found out */
+        /* read from the text, to detect a node that has a wrong version number */
         uint64_t version =
-            lab_sim_version_of(((ts_declarations_message_t *)message)->declarations->text);
-        if (node->sim->observer.configured != NULL) {
-            node->sim->observer.configured(node->sim->observer.context, node->index, version);
+            lab_sim_parse_version(((ts_declarations_message_t *)message)->declarations->text);
+        if (node->sim->observer.on_config_applied != NULL) {
+            node->sim->observer.on_config_applied(node->sim->observer.context, node->index,
+                                                  version);
         }
     }
 }
 
-static ts_error_t open_watch(ts_node_t *node)
+static ts_error_t open_observer(ts_node_t *node)
 {
-    ts_task_create(node->tasks, "observer", watch_declarations, lab_sim_node_of(node));
+    ts_task_create(node->tasks, "observer", handle_declarations, lab_sim_node_of(node));
     return TS_OK;
 }
 
 static const ts_task_ops_t mesh_ops = {open_mesh, NULL, NULL, NULL, NULL, NULL};
 TS_REGISTER_PLUGIN(sim_mesh, TS_PLUGIN_TASK, "mesh", 2, &mesh_ops, "simulated frames")
-static const ts_task_ops_t watch_ops = {open_watch, NULL, NULL, NULL, NULL, NULL};
-TS_REGISTER_PLUGIN(sim_watch, TS_PLUGIN_TASK, "observer", 7, &watch_ops, "tells the simulation")
+static const ts_task_ops_t observer_ops = {open_observer, NULL, NULL, NULL, NULL, NULL};
+TS_REGISTER_PLUGIN(sim_watch, TS_PLUGIN_TASK, "observer", 7, &observer_ops,
+                   "reports configuration changes to the simulator")
--- a/lab/sim_world.c
+++ b/lab/sim_world.c
@@ -8,25 +8,25 @@
 #include "tealspar/hash.h"
 #include "tealspar/platform.h"
 
-#define LINK_US 150ULL
-#define PLATFORM_US 2000ULL
+#define SEARCHER_LINK_US 150ULL
+#define PLATFORM_DELAY_US 2000ULL
 #define QUEUE_PER_SLOT 4U
-#define DRAIN_GRACE_US (2ULL * TS_US_PER_S)
+#define DRAIN_GRACE_PERIOD_US (2ULL * TS_US_PER_S)
 #define LEAVE_BOUND_US (3ULL * TS_US_PER_S)
 #define HEALTH_LAG_US (800ULL * TS_US_PER_MS)
 #define PERCENT 100.0
 #define HASH_SCALE 18446744073709551616.0
 #define TWO_PI 6.283185307179586
 
-/* A back end as one owner holds it. */
+/* A node's client for one searcher. */
 struct ts_searcher {
     lab_sim_node_t *node;
-    lab_sim_searcher_t *searcher; /* NULL: nothing answers at the address */
+    lab_sim_searcher_t *searcher;
 };
 
-typedef enum call_state { CALL_GOING, CALL_WAITING, CALL_RUNNING } call_state_t;
+typedef enum call_state { CALL_IN_TRANSIT, CALL_WAITING, CALL_RUNNING } call_state_t;
 
-/* One request to a searcher; lives until the searcher is done with it. */
+/* A request to a searcher; freed when its result is delivered or it ends without one. */
 struct ts_searcher_call {
     lab_sim_node_t *node;
     lab_sim_searcher_t *searcher;
@@ -41,7 +41,7 @@
     lab_sim_event_t *completion;
 };
 
-/* A result on its way back to the owner. */
+/* A result in transit back to the node. */
 typedef struct result {
     ts_searcher_call_t *call;
     ts_subreply_t subreply;
@@ -64,55 +64,58 @@
     g_free(result);
 }
 
-static void take_result(void *context)
+static void deliver_result(void *context)
 {
     result_t *result = context;
     ts_searcher_call_t *call = result->call;
     if (!call->is_cancelled) {
         result->subreply.service_us = (uint32_t)(call->searcher->sim->now_us - call->sent_us);
         call->done(call->context, &result->subreply);
-        result->subreply.hits = NULL; /* moved */
+        result->subreply.hits = NULL; /* ownership passed to the callback */
         result->subreply.hits_count = 0;
     }
     free_result(result);
 }
 
-static void answer(ts_searcher_call_t *call, const ts_subreply_t *subreply)
+static void send_result(ts_searcher_call_t *call, const ts_subreply_t *subreply)
 {
     result_t *result = g_new0(result_t, 1);
     result->call = call;
     result->subreply = *subreply;
-    lab_sim_schedule(call->searcher->sim, (int)call->node->index, LINK_US, take_result, free_result,
-                     result);
+    lab_sim_schedule(call->searcher->sim, (int)call->node->index, SEARCHER_LINK_US, deliver_result,
+                     free_result, result);
 }
 
 static void refuse(ts_searcher_call_t *call, ts_error_t error)
 {
     ts_subreply_t subreply = {.error = error, .run = TS_RUN_NOT};
-    answer(call, &subreply);
+    send_result(call, &subreply);
 }
 
 /* ---- service ---- */
 
-static double uniform_of(uint64_t hash)
+static double hash_to_uniform(uint64_t hash)
 {
     return ((double)hash + 1.0) / HASH_SCALE;
 }
 
-/* The time depends on the request, the shard and the back end alone: the same for every policy. */
+/*
+ * The service time depends only on the request, shard and backend, and not on the order of events,
+ * so that policies are compared under equal conditions.
+ */
 static double draw_service_us(const ts_searcher_call_t *call)
 {
     const lab_sim_service_t *service = &call->searcher->sim->config.service;
     uint64_t hash = ts_hash_mix(ts_hash_text(call->work->request_id), call->searcher->backend->id);
     hash = ts_hash_mix(hash, ts_hash_text(call->shard));
-    double first = uniform_of(ts_hash_mix(hash, 1));
-    double second = uniform_of(ts_hash_mix(hash, 2));
+    double first = hash_to_uniform(ts_hash_mix(hash, 1));
+    double second = hash_to_uniform(ts_hash_mix(hash, 2));
     double normal = sqrt(-2.0 * log(first)) * cos(TWO_PI * second);
     double ms =
         service->mean_ms * exp(service->sigma * normal - service->sigma * service->sigma / 2);
-    if (uniform_of(ts_hash_mix(hash, 3)) * PERCENT < service->straggler_percent) {
+    if (hash_to_uniform(ts_hash_mix(hash, 3)) * PERCENT < service->straggler_percent) {
         double span = service->straggler_factor[1] - service->straggler_factor[0];
-        ms *= service->straggler_factor[0] + span * uniform_of(ts_hash_mix(hash, 4));
+        ms *= service->straggler_factor[0] + span * hash_to_uniform(ts_hash_mix(hash, 4));
     }
     return ms * call->searcher->slow_factor * (double)TS_US_PER_MS;
 }
@@ -145,19 +148,19 @@
         free_call(call);
     } else if (searcher->state == LAB_SIM_DEAD) {
         ts_subreply_t lost = {.error = TS_E_IO, .run = TS_RUN_MAYBE};
-        answer(call, &lost);
+        send_result(call, &lost);
     } else {
         bool has_previous = searcher->previous_snapshot != 0 &&
                             call->wanted_snapshot == searcher->previous_snapshot;
         uint64_t snapshot = has_previous ? searcher->previous_snapshot : searcher->snapshot;
         ts_subreply_t subreply = {.run = TS_RUN_DONE, .snapshot = snapshot};
         fill_hits(call, snapshot, &subreply);
-        answer(call, &subreply);
+        send_result(call, &subreply);
     }
     run_waiting(searcher);
 }
 
-static void drop_service(void *context)
+static void drop_call(void *context)
 {
     free_call(context);
 }
@@ -167,7 +170,7 @@
     lab_sim_searcher_t *searcher = call->searcher;
     lab_sim_t *sim = searcher->sim;
     double service_us = draw_service_us(call);
-    lab_sim_run_t run = {
+    lab_sim_execution_t execution = {
         .request_id = call->work->request_id,
         .backend = searcher->backend->name,
         .is_unrepeatable = call->work->unrepeatable,
@@ -176,11 +179,11 @@
     searcher->running++;
     sim->requests++;
     sim->work_us += service_us;
-    if (sim->observer.ran != NULL) {
-        sim->observer.ran(sim->observer.context, &run);
+    if (sim->observer.on_execution != NULL) {
+        sim->observer.on_execution(sim->observer.context, &execution);
     }
-    call->completion = lab_sim_schedule(sim, LAB_SIM_WORLD, (ts_time_us_t)service_us, end_service,
-                                        drop_service, call);
+    call->completion = lab_sim_schedule(sim, LAB_SIM_NO_NODE, (ts_time_us_t)service_us, end_service,
+                                        drop_call, call);
 }
 
 static void run_waiting(lab_sim_searcher_t *searcher)
@@ -202,7 +205,7 @@
     return false;
 }
 
-static ts_error_t refusal(const ts_searcher_call_t *call)
+static ts_error_t check_refusal(const ts_searcher_call_t *call)
 {
     const lab_sim_searcher_t *searcher = call->searcher;
     ts_time_us_t span_us = searcher->sim->now_us - searcher->state_since_us;
@@ -214,32 +217,33 @@
     if (searcher->state == LAB_SIM_SHEDDING || is_full) {
         return TS_E_SHEDDING;
     }
-    if (searcher->state == LAB_SIM_DRAINING && span_us > DRAIN_GRACE_US) {
+    if (searcher->state == LAB_SIM_DRAINING && span_us > DRAIN_GRACE_PERIOD_US) {
         return TS_E_DRAINING;
     }
     return holds_shard(searcher, call->shard) ? TS_OK : TS_E_WRONG_SHARD;
 }
 
-static void tell_after_leave(const ts_searcher_call_t *call)
+static void report_after_leave(const ts_searcher_call_t *call)
 {
     const lab_sim_searcher_t *searcher = call->searcher;
     const lab_sim_observer_t *observer = &searcher->sim->observer;
     bool has_left = searcher->state == LAB_SIM_DRAINING &&
                     searcher->sim->now_us - searcher->state_since_us > LEAVE_BOUND_US;
-    if (has_left && observer->after_leave != NULL) {
-        observer->after_leave(observer->context, call->work->request_id, searcher->backend->name);
+    if (has_left && observer->on_after_leave != NULL) {
+        observer->on_after_leave(observer->context, call->work->request_id,
+                                 searcher->backend->name);
     }
 }
 
-static void arrive(void *context)
+static void handle_arrival(void *context)
 {
     ts_searcher_call_t *call = context;
     if (call->is_cancelled) {
         free_call(call);
         return;
     }
-    tell_after_leave(call);
-    ts_error_t error = refusal(call);
+    report_after_leave(call);
+    ts_error_t error = check_refusal(call);
     if (error != TS_OK) {
         refuse(call, error);
     } else if (call->searcher->running < call->searcher->backend->slots) {
@@ -250,7 +254,7 @@
     }
 }
 
-/* ---- the client plug-in ---- */
+/* ---- searcher client plug-in ---- */
 
 static ts_error_t open_searcher(ts_searcher_t **opened, const ts_node_t *node, const char *address,
                                 uint32_t connections)
@@ -286,11 +290,12 @@
     call->shard = g_strdup(shard);
     call->wanted_snapshot = wanted_snapshot;
     call->sent_us = searcher->node->sim->now_us;
-    lab_sim_schedule(searcher->node->sim, LAB_SIM_WORLD, LINK_US, arrive, drop_service, call);
+    lab_sim_schedule(searcher->node->sim, LAB_SIM_NO_NODE, SEARCHER_LINK_US, handle_arrival,
+                     drop_call, call);
     return call;
 }
 
-/* Cancelling frees a slot at once, but what cannot be repeated runs to its end. */
+/* Frees the slot at once, except for an unrepeatable request, which runs to completion. */
 static void cancel(ts_searcher_call_t *call)
 {
     lab_sim_searcher_t *searcher = call->searcher;
@@ -301,7 +306,7 @@
     } else if (call->completion != NULL && !call->work->unrepeatable) {
         double left_us = (double)(call->completion->due_us - searcher->sim->now_us);
         searcher->sim->work_us -= left_us;
-        call->completion->is_dead = true;
+        call->completion->is_cancelled = true;
         searcher->running--;
         free_call(call);
         run_waiting(searcher);
@@ -335,8 +340,8 @@
     call->searcher = searcher->searcher;
     call->done = done;
     call->context = context;
-    lab_sim_schedule(searcher->node->sim, (int)searcher->node->index, 2 * LINK_US, answer_health,
-                     g_free, call);
+    lab_sim_schedule(searcher->node->sim, (int)searcher->node->index, 2 * SEARCHER_LINK_US,
+                     answer_health, g_free, call);
 }
 
 static const ts_searcher_client_t client = {open_searcher, close_searcher, search, cancel,
@@ -344,9 +349,9 @@
 TS_REGISTER_PLUGIN(sim_client, TS_PLUGIN_SEARCHER_CLIENT, "simulated", 1, &client,
                    "simulated searchers")
 
-/* ---- faults of searchers ---- */
+/* ---- searcher faults ---- */
 
-void lab_sim_set_searcher(lab_sim_t *sim, unsigned index, lab_sim_searcher_state_t state)
+void lab_sim_set_searcher_state(lab_sim_t *sim, unsigned index, lab_sim_searcher_state_t state)
 {
     if (sim->searchers[index].state != state) {
         sim->searchers[index].state = state;
@@ -366,7 +371,7 @@
     searcher->snapshot = snapshot;
 }
 
-/* ---- the platform plug-in ---- */
+/* ---- platform plug-in ---- */
 
 typedef struct platform_call {
     lab_sim_node_t *node;
@@ -376,7 +381,7 @@
     void *context;
 } platform_call_t;
 
-uint64_t lab_sim_version_of(const char *text)
+uint64_t lab_sim_parse_version(const char *text)
 {
     const char *line = strstr(text, "version:");
     return line == NULL ? 0 : strtoull(line + strlen("version:"), NULL, 10);
@@ -388,7 +393,7 @@
     const char *text = call->node->sim->platform_text;
     if (text == NULL) {
         call->document_done(call->context, TS_E_CONNECT, NULL, 0);
-    } else if (lab_sim_version_of(text) == call->have) {
+    } else if (lab_sim_parse_version(text) == call->have) {
         call->document_done(call->context, TS_OK, NULL, 0);
     } else {
         call->document_done(call->context, TS_OK, text, strlen(text));
@@ -435,7 +440,7 @@
     platform_call_t *call = make_call(node, context);
     call->have = have;
     call->document_done = done;
-    lab_sim_schedule(node->sim, (int)node->index, PLATFORM_US, answer_document, g_free, call);
+    lab_sim_schedule(node->sim, (int)node->index, PLATFORM_DELAY_US, answer_document, g_free, call);
 }
 
 static void read_machines(void *handle, ts_platform_machines_t done, void *context)
@@ -443,7 +448,7 @@
     lab_sim_node_t *node = handle;
     platform_call_t *call = make_call(node, context);
     call->machines_done = done;
-    lab_sim_schedule(node->sim, (int)node->index, PLATFORM_US, answer_machines, g_free, call);
+    lab_sim_schedule(node->sim, (int)node->index, PLATFORM_DELAY_US, answer_machines, g_free, call);
 }
 
 static const ts_platform_t platform = {open_platform, read_document, read_machines};
--- a/lab/soak_world.c
+++ b/lab/soak_world.c
@@ -417,7 +417,7 @@
     node->touched_us = ts_clock_now_us();
 }
 
-static void node_ended(void *ctx, const lab_child_end_t *end)
+static void node_ended(void *ctx, const lab_child_exit_t *end)
 {
     soak_node_t *node = ctx;
     soak_t *s = node->soak;
--- a/lab/verdict.c
+++ b/lab/verdict.c
@@ -1,4 +1,4 @@
-/** The verdict of a run. */
+/** Evaluation of the journals of a run. */
 #include "verdict.h"
 
 #include <inttypes.h>
@@ -7,41 +7,42 @@
 
 #define FIELD_SIZE 160
 #define LEAVE_BOUND_MS 3000
-/* A query lost this near to a stop, a kill or a pause is put to its account. */
-#define BLAME_BEFORE_MS 2500
-#define BLAME_AFTER_MS 3000
+/* A query lost within this time before or after a stop, kill or pause is attributed to it. */
+#define ATTRIBUTION_BEFORE_MS 2500
+#define ATTRIBUTION_AFTER_MS 3000
 
-typedef struct journals {
-    GHashTable *refused; /* ids refused with 'not run' */
-    GHashTable *runs;    /* id -> times run, unrepeatable ids only */
-    GHashTable *ran;     /* ids that ran at all */
+typedef struct evaluation {
+    GHashTable *refused; /* ids of refused queries */
+    GHashTable *runs;    /* id -> number of executions, unrepeatable queries only */
+    GHashTable *ran;     /* ids of all queries that a searcher ran */
     lab_verdict_t *verdict;
     const lab_fault_log_t *log;
-} journals_t;
+} evaluation_t;
 
 static bool is_near(const GArray *times, int64_t at_ms)
 {
     for (guint i = 0; i < times->len; i++) {
         int64_t after_ms = at_ms - g_array_index(times, int64_t, i);
-        if (after_ms > -BLAME_BEFORE_MS && after_ms < BLAME_AFTER_MS) {
+        if (after_ms > -ATTRIBUTION_BEFORE_MS && after_ms < ATTRIBUTION_AFTER_MS) {
             return true;
         }
     }
     return false;
 }
 
-static bool is_disturbed(const GArray *disturbances, int64_t at_ms)
+static bool is_near_disturbance(const GArray *disturbances, int64_t at_ms)
 {
     for (guint i = 0; i < disturbances->len; i++) {
         const lab_disturbance_t *span = &g_array_index(disturbances, lab_disturbance_t, i);
-        if (at_ms > span->begin_ms - BLAME_BEFORE_MS && at_ms < span->end_ms + BLAME_AFTER_MS) {
+        if (at_ms > span->begin_ms - ATTRIBUTION_BEFORE_MS &&
+            at_ms < span->end_ms + ATTRIBUTION_AFTER_MS) {
             return true;
         }
     }
     return false;
 }
 
-static void read_searcher_line(journals_t *journals, const char *line)
+static void read_searcher_line(evaluation_t *evaluation, const char *line)
 {
     char backend[FIELD_SIZE];
     char event[FIELD_SIZE];
@@ -55,21 +56,21 @@
         return;
     }
     if (strcmp(event, "run") == 0) {
-        journals->verdict->searcher_requests++;
-        g_hash_table_add(journals->ran, g_strdup(id));
+        evaluation->verdict->searcher_requests++;
+        g_hash_table_add(evaluation->ran, g_strdup(id));
         if (number != 0) {
-            gpointer runs = g_hash_table_lookup(journals->runs, id);
-            g_hash_table_insert(journals->runs, g_strdup(id),
+            gpointer runs = g_hash_table_lookup(evaluation->runs, id);
+            g_hash_table_insert(evaluation->runs, g_strdup(id),
                                 GUINT_TO_POINTER(GPOINTER_TO_UINT(runs) + 1));
         }
     } else if (strcmp(event, "after_leave") == 0) {
-        journals->verdict->work_after_leave += number > LEAVE_BOUND_MS;
+        evaluation->verdict->work_after_leave += number > LEAVE_BOUND_MS;
     } else if (strcmp(event, "over_slots") == 0) {
-        journals->verdict->over_slots++;
+        evaluation->verdict->over_slots++;
     }
 }
 
-static void read_caller_line(journals_t *journals, const char *line)
+static void read_caller_line(evaluation_t *evaluation, const char *line)
 {
     char kind[FIELD_SIZE];
     char id[FIELD_SIZE];
@@ -81,36 +82,36 @@
         return;
     }
     if (strcmp(outcome, "refused") == 0) {
-        g_hash_table_add(journals->refused, g_strdup(id));
-    } else if (strcmp(outcome, "lost") == 0 && is_near(journals->log->stops, at_ms) &&
-               !is_disturbed(journals->log->disturbances, at_ms)) {
-        journals->verdict->cut_by_stop++;
+        g_hash_table_add(evaluation->refused, g_strdup(id));
+    } else if (strcmp(outcome, "lost") == 0 && is_near(evaluation->log->stops, at_ms) &&
+               !is_near_disturbance(evaluation->log->disturbances, at_ms)) {
+        evaluation->verdict->cut_by_stop++;
     }
 }
 
-static void read_file(journals_t *journals, const char *path,
-                      void (*read_line)(journals_t *journals, const char *line))
+static void read_file(evaluation_t *evaluation, const char *path,
+                      void (*read_line)(evaluation_t *evaluation, const char *line))
 {
     char line[1024];
     FILE *file = fopen(path, "r");
     while (file != NULL && fgets(line, sizeof(line), file) != NULL) {
-        read_line(journals, line);
+        read_line(evaluation, line);
     }
     if (file != NULL) {
         fclose(file);
     }
 }
 
-static void read_directory(journals_t *journals, const char *directory)
+static void read_directory(evaluation_t *evaluation, const char *directory)
 {
     GDir *folder = g_dir_open(directory, 0, NULL);
     const char *name = NULL;
     while (folder != NULL && (name = g_dir_read_name(folder)) != NULL) {
         char *path = g_strdup_printf("%s/%s", directory, name);
         if (g_str_has_prefix(name, "searchers-") && g_str_has_suffix(name, ".journal")) {
-            read_file(journals, path, read_searcher_line);
+            read_file(evaluation, path, read_searcher_line);
         } else if (strcmp(name, "load.journal") == 0) {
-            read_file(journals, path, read_caller_line);
+            read_file(evaluation, path, read_caller_line);
         }
         g_free(path);
     }
@@ -121,7 +122,7 @@
 
 void lab_verdict_read(lab_verdict_t *verdict, const char *directory, const lab_fault_log_t *log)
 {
-    journals_t journals = {
+    evaluation_t evaluation = {
         .refused = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
         .runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
         .ran = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
@@ -132,16 +133,16 @@
     gpointer key = NULL;
     gpointer value = NULL;
     memset(verdict, 0, sizeof(*verdict));
-    read_directory(&journals, directory);
-    g_hash_table_iter_init(&iterator, journals.runs);
+    read_directory(&evaluation, directory);
+    g_hash_table_iter_init(&iterator, evaluation.runs);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         verdict->ran_twice += GPOINTER_TO_UINT(value) > 1;
     }
-    g_hash_table_iter_init(&iterator, journals.refused);
+    g_hash_table_iter_init(&iterator, evaluation.refused);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
-        verdict->ran_though_refused += g_hash_table_contains(journals.ran, key);
+        verdict->ran_though_refused += g_hash_table_contains(evaluation.ran, key);
     }
-    g_hash_table_destroy(journals.refused);
-    g_hash_table_destroy(journals.runs);
-    g_hash_table_destroy(journals.ran);
+    g_hash_table_destroy(evaluation.refused);
+    g_hash_table_destroy(evaluation.runs);
+    g_hash_table_destroy(evaluation.ran);
 }
--- a/lab/watch.c
+++ b/lab/watch.c
@@ -1,4 +1,4 @@
-/** Watching the nodes of a fleet. */
+/** Monitoring of the nodes of a fleet. */
 #include "watch.h"
 
 #include <jansson.h>
@@ -6,27 +6,27 @@
 
 #include "tealspar/http_client.h"
 
-#define PERIOD_MS 100
+#define POLL_PERIOD_MS 100
 #define US_PER_MS_DOUBLE 1000.0
 
-/* A version seen in force at a node. */
+/* First status reply of a node with a certain configuration version. */
 typedef struct sighting {
     uint64_t version;
     ts_time_us_t at_us;
 } sighting_t;
 
-typedef struct watched {
+typedef struct watched_node {
     lab_watch_t *watch;
     lab_node_t *node;
     ts_http_pool_t *pool;
-    bool is_out;
+    bool is_in_flight; /* a status request is in flight */
     bool is_ready;
     size_t live_members;
-    uint64_t highest;
-    GArray *sightings;        /* first sighting of each higher version */
-    ts_time_us_t up_since_us; /* of the answers without a gap */
-    ts_time_us_t seen_us;
-} watched_t;
+    uint64_t highest;         /* highest configuration version reported */
+    GArray *sightings;        /* of sighting_t, ascending by version */
+    ts_time_us_t up_since_us; /* first reply since the last failed request; 0: the last failed */
+    ts_time_us_t replied_us;  /* time of the last reply */
+} watched_node_t;
 
 struct lab_watch {
     lab_fleet_t *fleet;
@@ -35,10 +35,10 @@
     unsigned reverted;
 };
 
-static void note_version(watched_t *watched, uint64_t version)
+static void record_version(watched_node_t *watched, uint64_t version)
 {
     if (version == 0) {
-        return; /* started anew, nothing in force yet */
+        return; /* restarted, no configuration in effect yet */
     }
     if (version < watched->highest) {
         watched->watch->reverted++;
@@ -62,11 +62,11 @@
     return live;
 }
 
-static void take_status(void *context, const ts_http_result_t *result)
+static void handle_status(void *context, const ts_http_result_t *result)
 {
-    watched_t *watched = context;
+    watched_node_t *watched = context;
     ts_time_us_t now_us = ts_clock_now_us();
-    watched->is_out = false;
+    watched->is_in_flight = false;
     if (result->error != TS_OK || result->status != 200) {
         watched->is_ready = false;
         watched->up_since_us = 0;
@@ -74,23 +74,24 @@
     }
     json_t *status = json_loadb(result->body, result->body_length, 0, NULL);
     const json_t *configuration = json_object_get(status, "configuration");
-    note_version(watched, (uint64_t)json_integer_value(json_object_get(configuration, "version")));
+    record_version(watched,
+                   (uint64_t)json_integer_value(json_object_get(configuration, "version")));
     watched->is_ready = json_is_true(json_object_get(status, "ready"));
     watched->live_members = count_live(status);
     watched->up_since_us = watched->up_since_us == 0 ? now_us : watched->up_since_us;
-    watched->seen_us = now_us;
+    watched->replied_us = now_us;
     json_decref(status);
 }
 
-static void read_statuses(uv_timer_t *timer)
+static void poll_statuses(uv_timer_t *timer)
 {
     lab_watch_t *watch = timer->data;
     for (guint i = 0; i < watch->nodes->len; i++) {
-        watched_t *watched = g_ptr_array_index(watch->nodes, i);
-        if (!watched->is_out) {
+        watched_node_t *watched = g_ptr_array_index(watch->nodes, i);
+        if (!watched->is_in_flight) {
             ts_http_send_t send = {"GET", "/status", NULL, NULL, 0};
-            watched->is_out = true;
-            ts_http_call(watched->pool, &send, take_status, watched);
+            watched->is_in_flight = true;
+            ts_http_call(watched->pool, &send, handle_status, watched);
         }
     }
 }
@@ -101,7 +102,7 @@
     watch->fleet = fleet;
     watch->nodes = g_ptr_array_new();
     for (guint i = 0; i < fleet->nodes->len; i++) {
-        watched_t *watched = g_new0(watched_t, 1);
+        watched_node_t *watched = g_new0(watched_node_t, 1);
         watched->watch = watch;
         watched->node = g_ptr_array_index(fleet->nodes, i);
         watched->sightings = g_array_new(FALSE, FALSE, sizeof(sighting_t));
@@ -110,7 +111,7 @@
     }
     uv_timer_init(fleet->loop, &watch->timer);
     watch->timer.data = watch;
-    uv_timer_start(&watch->timer, read_statuses, 0, PERIOD_MS);
+    uv_timer_start(&watch->timer, poll_statuses, 0, POLL_PERIOD_MS);
     return watch;
 }
 
@@ -123,7 +124,7 @@
 {
     const lab_watch_t *watch = context;
     for (guint i = 0; i < watch->nodes->len; i++) {
-        const watched_t *watched = g_ptr_array_index(watch->nodes, i);
+        const watched_node_t *watched = g_ptr_array_index(watch->nodes, i);
         if (!watched->is_ready || watched->live_members < watch->nodes->len) {
             return false;
         }
@@ -131,11 +132,11 @@
     return true;
 }
 
-bool lab_watch_running_answer(void *context)
+bool lab_watch_all_responsive(void *context)
 {
     const lab_watch_t *watch = context;
     for (guint i = 0; i < watch->nodes->len; i++) {
-        const watched_t *watched = g_ptr_array_index(watch->nodes, i);
+        const watched_node_t *watched = g_ptr_array_index(watch->nodes, i);
         if (watched->node->process.is_running && watched->up_since_us == 0) {
             return false;
         }
@@ -143,13 +144,13 @@
     return true;
 }
 
-unsigned lab_watch_reverted(const lab_watch_t *watch)
+unsigned lab_watch_count_reverted(const lab_watch_t *watch)
 {
     return watch->reverted;
 }
 
-/* When a node first showed this version or a higher one; 0 when never. */
-static ts_time_us_t first_sighting(const watched_t *watched, uint64_t version)
+/* Time at which a node first reported this version or a higher one; 0: never. */
+static ts_time_us_t first_sighting(const watched_node_t *watched, uint64_t version)
 {
     for (guint i = 0; i < watched->sightings->len; i++) {
         const sighting_t *sighting = &g_array_index(watched->sightings, sighting_t, i);
@@ -160,20 +161,20 @@
     return 0;
 }
 
-double lab_watch_spread_ms(const lab_watch_t *watch, const lab_fault_log_t *log, double bound_ms,
-                           unsigned *late)
+double lab_watch_propagation_ms(const lab_watch_t *watch, const lab_fault_log_t *log,
+                                double bound_ms, unsigned *late)
 {
     double longest_ms = 0;
     *late = 0;
     for (guint p = 0; p < log->published->len; p++) {
         const lab_published_t *published = &g_array_index(log->published, lab_published_t, p);
         for (guint i = 0; i < watch->nodes->len; i++) {
-            const watched_t *watched = g_ptr_array_index(watch->nodes, i);
+            const watched_node_t *watched = g_ptr_array_index(watch->nodes, i);
             if (watched->up_since_us == 0 || watched->up_since_us > published->at_us) {
-                continue; /* it was down at some time since */
+                continue; /* down at some time since the publication */
             }
             ts_time_us_t seen_us = first_sighting(watched, published->version);
-            ts_time_us_t until_us = seen_us == 0 ? watched->seen_us : seen_us;
+            ts_time_us_t until_us = seen_us == 0 ? watched->replied_us : seen_us;
             double span_ms = until_us <= published->at_us
                                  ? 0
                                  : (double)(until_us - published->at_us) / US_PER_MS_DOUBLE;
--- a/lab/watch.h
+++ b/lab/watch.h
@@ -1,4 +1,4 @@
-/** Watching the nodes of a fleet: readiness, and which configuration each has in force. */
+/** Monitors the nodes of a fleet: readiness and effective configuration version. */
 #ifndef TEALSPAR_LAB_WATCH_H
 #define TEALSPAR_LAB_WATCH_H
 
@@ -6,20 +6,21 @@
 
 typedef struct lab_watch lab_watch_t;
 
-/** Begins to read every node's status several times a second. */
+/** Starts polling the status of every node. */
 lab_watch_t *lab_watch_start(lab_fleet_t *fleet);
 void lab_watch_stop(lab_watch_t *watch);
-/** Whether every running node says that it is ready and sees all the others live. */
-bool lab_watch_all_ready(void *watch);
-/** Whether every node whose process runs answers its operators; for lab_run_until. */
-bool lab_watch_running_answer(void *context);
-/** Times that a node showed a lower version than it had shown before. */
-unsigned lab_watch_reverted(const lab_watch_t *watch);
+/** Whether every node is ready and sees all nodes as live; for lab_run_until. */
+bool lab_watch_all_ready(void *context);
+/** Whether every node with a running process answers status requests; for lab_run_until. */
+bool lab_watch_all_responsive(void *context);
+/** Counts status replies with a lower configuration version than the node reported before. */
+unsigned lab_watch_count_reverted(const lab_watch_t *watch);
 /**
- * Longest time in ms from a publication until it was in force at a node that ran throughout, and
- * through `late` the number of those past `bound_ms` (not reached by the end counts as well).
+ * Returns the longest time in ms from a publication until a node had it in effect. A node that had
+ * not reached it counts with the time until its last status reply, a node that has been down since
+ * the publication is left out. Sets `late` to the number of propagations that exceeded `bound_ms`.
  */
-double lab_watch_spread_ms(const lab_watch_t *watch, const lab_fault_log_t *log, double bound_ms,
-                           unsigned *late);
+double lab_watch_propagation_ms(const lab_watch_t *watch, const lab_fault_log_t *log,
+                                double bound_ms, unsigned *late);
 
 #endif
--- a/tests/control/test_membership.c
+++ b/tests/control/test_membership.c
@@ -13,7 +13,7 @@
         .nodes = nodes, .zones = 3, .delay_ms = 3, .drop_percent = drop_percent, .seed = seed};
     lab_hollow_t *fleet = lab_hollow_create(&config);
     for (int i = 0; i < 120 && !lab_hollow_is_converged(fleet); i++) {
-        lab_hollow_run(fleet, SECOND);
+        lab_hollow_advance(fleet, SECOND);
     }
     assert_true(lab_hollow_is_converged(fleet));
     lab_hollow_reset_report(fleet);
@@ -31,12 +31,12 @@
         lab_hollow_config_t config = {
             .nodes = sizes[i], .zones = 6, .delay_ms = 6, .seed = 3, .seeds = 3};
         lab_hollow_t *fleet = lab_hollow_create(&config);
-        lab_hollow_run(fleet, 14 * SECOND);
+        lab_hollow_advance(fleet, 14 * SECOND);
         assert_true(lab_hollow_is_converged(fleet));
         lab_hollow_report_t report = lab_hollow_report(fleet);
         double mean_bytes = (double)report.bytes / sizes[i];
         /* Each seed is asked by a third of all nodes. */
-        assert_true((double)report.busiest < 8 * mean_bytes);
+        assert_true((double)report.max_node_bytes < 8 * mean_bytes);
         assert_int_equal(report.false_deaths, 0);
         lab_hollow_destroy(fleet);
     }
@@ -52,10 +52,10 @@
 {
     lab_hollow_t *fleet = start_fleet(6, 0, 1); // two in each of three zones, assigned round-robin
     lab_hollow_kill(fleet, 0);
-    lab_hollow_run(fleet, 10 * SECOND);
+    lab_hollow_advance(fleet, 10 * SECOND);
     lab_hollow_pause(fleet, 3, 10 * SECOND);
     lab_hollow_start(fleet, 0);
-    lab_hollow_run(fleet, 2 * SECOND);
+    lab_hollow_advance(fleet, 2 * SECOND);
     ts_view_t *view = lab_hollow_view(fleet, 0);
     assert_true(view->count >= 5);
     ts_view_unref(view);
@@ -67,12 +67,12 @@
     for (uint64_t seed = 1; seed <= 5; seed++) {
         lab_hollow_t *fleet = start_fleet(30, 0, seed);
         lab_hollow_kill(fleet, 7);
-        lab_hollow_run(fleet, 15 * SECOND);
-        assert_int_equal(lab_hollow_believers(fleet, 7, TS_MEMBER_DEAD), 29);
+        lab_hollow_advance(fleet, 15 * SECOND);
+        assert_int_equal(lab_hollow_count_seeing(fleet, 7, TS_MEMBER_DEAD), 29);
         assert_true(lab_hollow_is_converged(fleet));
         assert_int_equal(lab_hollow_report(fleet).false_deaths, 0);
         lab_hollow_start(fleet, 7);
-        lab_hollow_run(fleet, 15 * SECOND);
+        lab_hollow_advance(fleet, 15 * SECOND);
         assert_true(lab_hollow_is_converged(fleet));
         lab_hollow_destroy(fleet);
     }
@@ -84,7 +84,7 @@
         lab_hollow_t *fleet = start_fleet(30, 5, seed);
         for (unsigned i = 0; i < 20; i++) {
             lab_hollow_pause(fleet, i % 30, 3 * SECOND);
-            lab_hollow_run(fleet, 4 * SECOND);
+            lab_hollow_advance(fleet, 4 * SECOND);
         }
         assert_int_equal(lab_hollow_report(fleet).false_deaths, 0);
         lab_hollow_destroy(fleet);
@@ -95,9 +95,9 @@
 {
     lab_hollow_t *fleet = start_fleet(20, 0, 3);
     lab_hollow_pause(fleet, 4, 30 * SECOND);
-    lab_hollow_run(fleet, 25 * SECOND);
-    assert_int_equal(lab_hollow_believers(fleet, 4, TS_MEMBER_DEAD), 19);
-    lab_hollow_run(fleet, 30 * SECOND);
+    lab_hollow_advance(fleet, 25 * SECOND);
+    assert_int_equal(lab_hollow_count_seeing(fleet, 4, TS_MEMBER_DEAD), 19);
+    lab_hollow_advance(fleet, 30 * SECOND);
     assert_true(lab_hollow_is_converged(fleet));
     lab_hollow_destroy(fleet);
 }
@@ -105,8 +105,8 @@
 static void test_isolated_zone_rejoins(void **state)
 {
     lab_hollow_t *fleet = start_fleet(24, 0, 9);
-    lab_hollow_cut(fleet, 1, true);
-    lab_hollow_run(fleet, 60 * SECOND);
+    lab_hollow_partition_zone(fleet, 1, true);
+    lab_hollow_advance(fleet, 60 * SECOND);
     ts_view_t *inside = lab_hollow_view(fleet, 1); /* zone 1 has eight nodes, node 1 included */
     assert_int_equal(inside->count, 8);
     assert_true(inside->has_quorum); /* of its own zone */
@@ -115,8 +115,8 @@
     assert_int_equal(outside->count, 16);
     ts_view_unref(outside);
     assert_int_equal(lab_hollow_report(fleet).false_deaths, 0);
-    lab_hollow_cut(fleet, 1, false);
-    lab_hollow_run(fleet, 60 * SECOND);
+    lab_hollow_partition_zone(fleet, 1, false);
+    lab_hollow_advance(fleet, 60 * SECOND);
     assert_true(lab_hollow_is_converged(fleet));
     lab_hollow_destroy(fleet);
 }
@@ -126,12 +126,12 @@
     lab_hollow_t *fleet = start_fleet(15, 0, 2); /* zone 0: nodes 0, 3, 6, 9, 12 */
     lab_hollow_kill(fleet, 3);
     lab_hollow_kill(fleet, 6);
-    lab_hollow_run(fleet, 20 * SECOND);
+    lab_hollow_advance(fleet, 20 * SECOND);
     ts_view_t *view = lab_hollow_view(fleet, 0);
     assert_true(view->has_quorum);
     ts_view_unref(view);
     lab_hollow_kill(fleet, 9);
-    lab_hollow_run(fleet, 20 * SECOND);
+    lab_hollow_advance(fleet, 20 * SECOND);
     view = lab_hollow_view(fleet, 0);
     assert_false(view->has_quorum);
     ts_view_unref(view);
@@ -141,9 +141,9 @@
 static void test_configuration_reaches_all(void **state)
 {
     lab_hollow_t *fleet = start_fleet(60, 10, 5);
-    lab_hollow_configure(fleet, 3, 4);
-    lab_hollow_run(fleet, 13 * SECOND);
-    assert_int_equal(lab_hollow_configured(fleet, 4), 60);
+    lab_hollow_set_config_version(fleet, 3, 4);
+    lab_hollow_advance(fleet, 13 * SECOND);
+    assert_int_equal(lab_hollow_count_configured(fleet, 4), 60);
     lab_hollow_destroy(fleet);
 }
 
