--- a/tests/front/test_front.c
+++ b/tests/front/test_front.c
@@ -41,7 +41,7 @@
                                .service = {SERVICE_MS, 0.0, 0, {1, 1}},
                                .seed = 1};
     lab_sim_t *sim = lab_sim_create(&config, &nobody);
-    lab_sim_run(sim, SETTLE_US);
+    lab_sim_advance(sim, SETTLE_US);
     lab_sim_reset_totals(sim);
     return sim;
 }
@@ -68,9 +68,9 @@
     double work_us = 0;
     uint64_t requests = 0;
     ts_query_t *query = submit(sim, &answers);
-    lab_sim_run(sim, 50 * TS_US_PER_MS);
+    lab_sim_advance(sim, 50 * TS_US_PER_MS);
     ts_front_abandon(query);
-    lab_sim_run(sim, 2 * TS_US_PER_S);
+    lab_sim_advance(sim, 2 * TS_US_PER_S);
     lab_sim_totals(sim, &work_us, &requests);
     assert_int_equal(answers, 0);
     assert_int_equal(requests, SHARDS);
@@ -88,7 +88,7 @@
     double work_us = 0;
     uint64_t requests = 0;
     submit(sim, &answers);
-    lab_sim_run(sim, 2 * TS_US_PER_S);
+    lab_sim_advance(sim, 2 * TS_US_PER_S);
     lab_sim_totals(sim, &work_us, &requests);
     assert_int_equal(answers, 1);
     assert_int_equal(requests, SHARDS);
@@ -114,7 +114,7 @@
     uint64_t requests = 0;
     slow_down_first_zone(sim);
     submit(sim, &answers);
-    lab_sim_run(sim, 5 * TS_US_PER_S);
+    lab_sim_advance(sim, 5 * TS_US_PER_S);
     lab_sim_totals(sim, &work_us, &requests);
     assert_int_equal(answers, 1);
     assert_true(requests > SHARDS);
--- a/tests/front/test_planned_stop.c
+++ b/tests/front/test_planned_stop.c
@@ -82,7 +82,7 @@
 {
     for (ts_time_us_t passed = 0; passed < ENDING_US; passed += load->step_us) {
         submit_round(sim, stopping, number, outcomes);
-        lab_sim_run(sim, load->step_us);
+        lab_sim_advance(sim, load->step_us);
     }
 }
 
@@ -101,11 +101,11 @@
     outcomes_t outcomes = {0};
     unsigned number = 0;
     for (unsigned stopping = 0; stopping < NODES; stopping++) {
-        lab_sim_run(sim, SETTLE_US);
+        lab_sim_advance(sim, SETTLE_US);
         lab_sim_stop(sim, stopping);
-        lab_sim_run(sim, SERVING_US);
+        lab_sim_advance(sim, SERVING_US);
         put_load(sim, load, stopping, &number, &outcomes);
-        lab_sim_run(sim, SETTLE_US);
+        lab_sim_advance(sim, SETTLE_US);
         lab_sim_start(sim, stopping);
     }
     assert_int_equal(outcomes.answered + outcomes.refused + outcomes.unknown, number);
--- a/tests/lab/test_checks.c
+++ b/tests/lab/test_checks.c
@@ -48,10 +48,10 @@
 static lab_violations_t check(json_t *answer, const char *id, const char *text)
 {
     lab_violations_t violations = {0};
-    lab_told_t told = {0};
+    lab_answer_summary_t told = {0};
     ts_declarations_t *declarations = test_load(test_declarations_text);
-    lab_asked_t asked = {declarations, ts_declarations_selector(declarations, "all"), id, text,
-                         true};
+    lab_query_spec_t asked = {declarations, ts_declarations_selector(declarations, "all"), id, text,
+                              true};
     lab_check_answer(&asked, answer, &told, &violations);
     ts_declarations_unref(declarations);
     json_decref(answer);
