--- a/lab/fleet.c
+++ b/lab/fleet.c
@@ -50,8 +50,7 @@
 {
     g_free(fleet->config_text);
     fleet->config_text = text;
-    /* g_file_set_contents replaces the file atomically, so the platform never reads a partial one
-     */
+    /* replaced atomically by GLib, so that the platform never reads a partial file */
     g_file_set_contents(fleet->config_path, text, -1, NULL);
 }
 
--- a/lab/load_check.h
+++ b/lab/load_check.h
@@ -10,7 +10,7 @@
 typedef struct lab_violations {
     uint64_t mixed_snapshot; /**< hits of another snapshot than the answer states */
     uint64_t false_coverage; /**< stated coverage does not match the hits */
-    uint64_t wrong_answer;   /**< wrong id, hits or score order, or shard outside the reach */
+    uint64_t wrong_answer;   /**< malformed, or wrong id, hits, score order or shards */
 } lab_violations_t;
 
 /** The query that an answer is checked against. */
--- a/lab/report.c
+++ b/lab/report.c
@@ -199,8 +199,7 @@
     g_array_append_val(points, y);
 }
 
-/* Plots the fraction of answers slower than a latency (complementary CDF), both axes logarithmic.
- */
+/* Plots the fraction of answers slower than a given latency, on two logarithmic axes. */
 static void draw_latencies(GString *out, run_t **runs, unsigned count, const char *kind)
 {
     static const double max_ms = 1000;
--- a/lab/run.c
+++ b/lab/run.c
@@ -142,8 +142,7 @@
     json_object_set_new(report, "config_spread_ms", json_real(spread_ms));
 }
 
-/* Valid only if no node was restarted under load: the CPU time of exited processes is not counted.
- */
+/* Valid only if no node was restarted: the CPU time of exited processes is not counted. */
 static void add_cpu(json_t *report, const lab_verdict_t *verdict, double cpu_s)
 {
     double per_core = cpu_s > 0 ? (double)verdict->searcher_requests / cpu_s : 0;
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -12,7 +12,7 @@
     LAB_FAULT_KILL,          /**< target node: SIGKILL; target backend: closes all connections */
     LAB_FAULT_START,         /**< target node: restarts; target backend: serves again */
     LAB_FAULT_PAUSE,         /**< target node: suspended for `for_s` */
-    LAB_FAULT_PARTITION,     /**< target zone: partitioned from all others for `for_s` */
+    LAB_FAULT_PARTITION,     /**< target zone, "*" for all: partitioned for `for_s` */
     LAB_FAULT_DRAIN,         /**< target backend: drains and leaves */
     LAB_FAULT_COLD_START,    /**< target backend: starting for a second, then slow for `for_s` */
     LAB_FAULT_SHED,          /**< target backend: refuses requests for `for_s` */
--- a/lab/searcher_model.c
+++ b/lab/searcher_model.c
@@ -243,7 +243,10 @@
     searcher->reported = searcher->state;
 }
 
-/* The load endpoint reports outdated values on purpose: those of the sample before the last. */
+/*
+ * The load endpoint reports outdated values on purpose: those of the sample before the last, which
+ * are LOAD_LAG_MS to about twice that old if polled continuously.
+ */
 static void refresh_load(lab_searcher_t *searcher)
 {
     ts_time_us_t now_us = ts_clock_now_us();
--- a/lab/sim.c
+++ b/lab/sim.c
@@ -15,7 +15,7 @@
 #define SHUTDOWN_POLL_US (10ULL * TS_US_PER_MS)
 #define RANDOM_SCALE 18446744073709551616.0
 
-static lab_sim_t *current;
+static lab_sim_t *current; /* read by the clock functions, which have no context argument */
 
 static ts_time_us_t virtual_now_us(void)
 {
--- a/lab/sim.h
+++ b/lab/sim.h
@@ -31,7 +31,7 @@
     double zone_ms;           /**< additional one-way delay between zones */
     double drop_percent;      /**< percentage of frames between nodes that are lost */
     double duplicate_percent; /**< percentage of frames that are delivered twice */
-    double jitter;            /**< maximum extra delay as a fraction; frames may be reordered */
+    double jitter; /**< maximum extra delay as a fraction of the delay; may reorder frames */
     lab_sim_service_t service;
     uint64_t seed;
 } lab_sim_config_t;
--- a/lab/sim_world.c
+++ b/lab/sim_world.c
@@ -8,11 +8,11 @@
 #include "tealspar/hash.h"
 #include "tealspar/platform.h"
 
-#define SEARCHER_LINK_US 150ULL
+#define SEARCHER_LINK_US 150ULL /* one-way delay between node and searcher */
 #define PLATFORM_DELAY_US 2000ULL
 #define QUEUE_PER_SLOT 4U
 #define DRAIN_GRACE_PERIOD_US (2ULL * TS_US_PER_S)
-#define LEAVE_BOUND_US (3ULL * TS_US_PER_S)
+#define LEAVE_BOUND_US (3ULL * TS_US_PER_S) /* nodes must have stopped sending by then */
 #define HEALTH_LAG_US (800ULL * TS_US_PER_MS)
 #define PERCENT 100.0
 #define HASH_SCALE 18446744073709551616.0
