--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -17,8 +17,8 @@
     uv_process_t handle;
     bool is_running;
     bool is_exit_expected; /**< the current incarnation was killed by a fault */
-    int64_t exit_status;
-    int signal;
+    int64_t exit_status;   /**< of the last exit */
+    int signal;            /**< that terminated the last incarnation; 0: none */
     unsigned failed_exits; /**< unexpected exits with a signal or a nonzero status */
 } lab_process_t;
 
@@ -26,10 +26,10 @@
 typedef struct lab_node {
     lab_process_t process;
     char *zone;
-    char *callers;
-    char *operators;
-    char *peers;
-    char *advertise;
+    char *callers;   /**< IP:PORT for queries */
+    char *operators; /**< IP:PORT for health checks and status */
+    char *peers;     /**< IP:PORT for other nodes */
+    char *advertise; /**< IP:PORT given to other nodes: that of the proxy, or `peers` without one */
     char *settings_path;
 } lab_node_t;
 
--- a/lab/load.c
+++ b/lab/load.c
@@ -60,7 +60,7 @@
     ssize_t got = read(arrivals_fd, &expirations, sizeof(expirations));
     ts_time_us_t now_us = ts_clock_now_us();
     if (got < 0 || now_us >= load->ends_us) {
-        load->is_over = now_us >= load->ends_us;
+        load->has_arrivals_ended = now_us >= load->ends_us;
         uv_poll_stop(poll);
         return;
     }
@@ -86,7 +86,7 @@
 static void check_nodes(uv_timer_t *timer)
 {
     lab_load_t *load = timer->data;
-    if (load->is_over && load->outstanding == 0) {
+    if (load->has_arrivals_ended && load->outstanding == 0) {
         uv_stop(load->loop);
         return;
     }
@@ -95,7 +95,7 @@
         if (!node->is_checking) {
             ts_http_send_t send = {"GET", "/health/ready", NULL, NULL, 0};
             node->is_checking = true;
-            ts_http_call(node->health, &send, handle_health_result, node);
+            ts_http_call(node->health_pool, &send, handle_health_result, node);
         }
     }
 }
@@ -133,7 +133,7 @@
         totals[1] += kind->refused;
         totals[2] += kind->unknown;
         totals[3] += kind->lost;
-        totals[4] += kind->true_claims;
+        totals[4] += kind->correct_coverage;
         coverage_sum += kind->coverage_sum;
         coverage_min = MIN(coverage_min, kind->coverage_min);
         needed += (kind->sent - kind->refused) *
@@ -161,13 +161,14 @@
 {
     char **parts = g_strsplit(text, "/", 2);
     lab_load_node_t *node = g_new0(lab_load_node_t, 1);
-    node->callers = g_strdup(parts[0]);
-    node->operators = g_strdup(parts[0] == NULL ? NULL : parts[1]);
+    node->callers_address = g_strdup(parts[0]);
+    node->operators_address = g_strdup(parts[0] == NULL ? NULL : parts[1]);
     g_strfreev(parts);
     bool is_valid =
-        node->callers != NULL && node->operators != NULL &&
-        ts_http_pool_open(&node->pool, load->loop, node->callers, CONNECTIONS_PER_NODE) == TS_OK &&
-        ts_http_pool_open(&node->health, load->loop, node->operators, 2) == TS_OK;
+        node->callers_address != NULL && node->operators_address != NULL &&
+        ts_http_pool_open(&node->query_pool, load->loop, node->callers_address,
+                          CONNECTIONS_PER_NODE) == TS_OK &&
+        ts_http_pool_open(&node->health_pool, load->loop, node->operators_address, 2) == TS_OK;
     if (!is_valid) {
         fprintf(stderr, "--node %s: expected IP:PORT/IP:PORT\n", text);
     }
@@ -241,10 +242,11 @@
     struct arg_file *out = arg_file0(NULL, "journal", "FILE", "write one line per query");
     struct arg_file *tries =
         arg_file0(NULL, "tries", "FILE", "write one line per attempt of an unrepeatable query");
-    struct arg_lit *moving =
+    struct arg_lit *reach_changes =
         arg_lit0(NULL, "reach-changes", "the declared reach changes during the run");
     struct arg_end *end = arg_end(8);
-    void *table[TABLE_SIZE] = {help, file, nodes, kinds, seconds, seed, out, tries, moving, end};
+    void *table[TABLE_SIZE] = {help, file, nodes, kinds,         seconds,
+                               seed, out,  tries, reach_changes, end};
     int exit_code = TS_EXIT_OK;
     if (ts_command_parse(argc, argv, table, TABLE_SIZE,
                          "send queries at a fixed mean rate, check every answer, print a report",
@@ -252,7 +254,7 @@
         lab_load_t load = {.loop = uv_default_loop(),
                            .kinds = g_ptr_array_new(),
                            .nodes = g_ptr_array_new(),
-                           .check_reach = moving->count == 0,
+                           .check_reach = reach_changes->count == 0,
                            .seed = seed->count > 0 ? (uint64_t)seed->ival[0] : 1};
         load.random = gsl_rng_alloc(gsl_rng_taus2);
         gsl_rng_set(load.random, load.seed);
--- a/lab/load_check.c
+++ b/lab/load_check.c
@@ -11,13 +11,14 @@
 #define TEXT_SIZE 64
 #define SCORE_TOLERANCE 1e-9
 
-/* Findings from the hits of an answer. */
+/* State of the check of one answer. */
 typedef struct findings {
     GHashTable *hits_by_shard; /* shard name -> number of hits */
-    bool is_mixed;
-    bool is_wrong;
+    bool is_mixed;             /* a hit is of another snapshot than the answer states */
+    bool is_wrong;             /* the answer counts as wrong_answer */
 } findings_t;
 
+/* Checks one hit. `last_score` is the score of the previous hit: scores must not increase. */
 static void check_hit(const lab_query_spec_t *spec, const json_t *hit, uint64_t snapshot,
                       double *last_score, findings_t *findings)
 {
@@ -43,7 +44,10 @@
                         GUINT_TO_POINTER(GPOINTER_TO_UINT(count) + 1));
 }
 
-/* Each shard with hits must have returned all of them and, if checked, be within the reach. */
+/*
+ * Each shard with hits must be declared and must have returned all its hits. With `check_reach`,
+ * the kind must also be allowed to query the shard's group.
+ */
 static void check_shards(const lab_query_spec_t *spec, uint64_t snapshot, findings_t *findings)
 {
     GHashTableIter iterator;
@@ -54,14 +58,15 @@
         const char *shard = key;
         findings->is_wrong |=
             GPOINTER_TO_UINT(value) != lab_record_count(shard, spec->text, snapshot);
-        unsigned index =
+        /* index of the shard + 1; 0: not declared */
+        unsigned position =
             GPOINTER_TO_UINT(g_hash_table_lookup(spec->declarations->shard_by_name, shard));
-        if (!spec->check_reach || index == 0) {
-            findings->is_wrong |= index == 0;
+        if (!spec->check_reach || position == 0) {
+            findings->is_wrong |= position == 0;
             continue;
         }
         const ts_group_t *group =
-            &spec->declarations->groups[spec->declarations->shards[index - 1].group];
+            &spec->declarations->groups[spec->declarations->shards[position - 1].group];
         findings->is_wrong |= !ts_labels_match(spec->selector->groups, spec->selector->groups_count,
                                                group->labels, group->labels_count);
     }
@@ -78,7 +83,10 @@
     return g_hash_table_contains(findings->hits_by_shard, name);
 }
 
-/* Whether the coverage of each group matches the hits and the sum matches the total. */
+/*
+ * Whether the stated coverage of each group equals its number of shards with hits, and the coverage
+ * of all groups adds up to the stated total.
+ */
 static bool is_group_coverage_correct(const json_t *coverage, const findings_t *findings)
 {
     size_t index = 0;
@@ -88,16 +96,16 @@
     {
         const char *group = json_string_value(json_object_get(row, "group"));
         json_int_t covered = json_integer_value(json_object_get(row, "covered"));
-        json_int_t found = 0;
+        json_int_t shards_with_hits = 0;
         GHashTableIter iterator;
         gpointer key = NULL;
         g_hash_table_iter_init(&iterator, findings->hits_by_shard);
         while (g_hash_table_iter_next(&iterator, &key, NULL)) {
             const char *shard = key;
-            size_t length = strcspn(shard, "/");
-            found += strlen(group) == length && strncmp(shard, group, length) == 0;
+            size_t length = strcspn(shard, "/"); /* shard names are "GROUP/NUMBER" */
+            shards_with_hits += strlen(group) == length && strncmp(shard, group, length) == 0;
         }
-        if (found != covered) {
+        if (shards_with_hits != covered) {
             return false;
         }
         sum += covered;
@@ -125,10 +133,11 @@
     check_shards(spec, summary->snapshot, &findings);
     findings.is_wrong |= id == NULL || strcmp(id, spec->id) != 0;
     findings.is_wrong |= summary->covered > 0 && !has_key_shard(spec, &findings);
-    bool is_false = g_hash_table_size(findings.hits_by_shard) != summary->covered ||
-                    !is_group_coverage_correct(coverage, &findings);
+    /* every shard has at least one hit for every query, so covered shards are those with hits */
+    bool is_coverage_wrong = g_hash_table_size(findings.hits_by_shard) != summary->covered ||
+                             !is_group_coverage_correct(coverage, &findings);
     violations->mixed_snapshot += findings.is_mixed;
     violations->wrong_answer += findings.is_wrong;
-    violations->false_coverage += is_false;
+    violations->false_coverage += is_coverage_wrong;
     g_hash_table_destroy(findings.hits_by_shard);
 }
--- a/lab/load_check.h
+++ b/lab/load_check.h
@@ -19,10 +19,10 @@
     const ts_selector_t *selector;
     const char *id;
     const char *text; /**< query text, or the key if routed by key */
-    bool check_reach; /**< whether hits outside the declared reach are violations */
+    bool check_reach; /**< check that hits come only from shards that the kind may query */
 } lab_query_spec_t;
 
-/** Snapshot and coverage that an answer states. */
+/** Snapshot and coverage (number of shards that contributed, of those in reach) of an answer. */
 typedef struct lab_answer_summary {
     uint64_t snapshot;
     uint32_t shards;
--- a/lab/load_query.c
+++ b/lab/load_query.c
@@ -59,8 +59,8 @@
     if (query->load->tries == NULL || !query->kind->selector->unrepeatable)
         return;
     fprintf(query->load->tries, "%" PRId64 " %" PRIu64 " %s %u %s %s %s\n", ts_clock_wall_ms(),
-            ts_clock_now_us() - query->sent_us, query->id, query->repeats, query->node->callers,
-            outcome, error);
+            ts_clock_now_us() - query->sent_us, query->id, query->repeats,
+            query->node->callers_address, outcome, error);
 }
 
 static void send_query(lab_query_t *query);
@@ -81,7 +81,7 @@
     lab_check_answer(&spec, root, &summary, &load->violations);
     double coverage = summary.shards == 0 ? 0 : (double)summary.covered / summary.shards;
     kind->answered++;
-    kind->true_claims += load->violations.false_coverage == false_before;
+    kind->correct_coverage += load->violations.false_coverage == false_before;
     kind->coverage_sum += coverage;
     kind->coverage_min = MIN(kind->coverage_min, coverage);
     ts_histogram_add(&kind->latencies, ts_clock_now_us() - query->due_us);
@@ -202,7 +202,7 @@
     query->node = node;
     query->sent_us = ts_clock_now_us();
     query->nodes_tried++;
-    query->call = ts_http_call(node->pool, &send, handle_result, query);
+    query->call = ts_http_call(node->query_pool, &send, handle_result, query);
     uv_timer_start(&query->timer, handle_timeout,
                    query->kind->selector->deadline_ms + REPLY_GRACE_MS, 0);
     free(body);
@@ -216,7 +216,7 @@
     query->due_us = due_us;
     query->issued_at_ms = ts_clock_wall_ms();
     g_snprintf(query->id, sizeof(query->id), "q%" PRIu64 "-%" PRIu64, load->seed,
-               load->next_number++);
+               load->next_query_number++);
     g_snprintf(query->text, sizeof(query->text), "name-%lu",
                gsl_rng_uniform_int(load->random, VOCABULARY));
     uv_timer_init(load->loop, &query->timer);
--- a/lab/records.h
+++ b/lab/records.h
@@ -12,7 +12,7 @@
 
 #define LAB_HITS_PER_SHARD_MAX 2U
 
-/** Number of hits that a shard has for a query. */
+/** Number of hits that a shard has for a query: 1 to LAB_HITS_PER_SHARD_MAX. */
 unsigned lab_record_count(const char *shard, const char *query, uint64_t snapshot);
 /** Writes the id of a hit, "SHARD@SNAPSHOT#NUMBER"; 128 bytes are sufficient. */
 void lab_record_id(char *id, size_t size, const char *shard, uint64_t snapshot, unsigned number);
--- a/lab/searcher_model.c
+++ b/lab/searcher_model.c
@@ -21,7 +21,13 @@
 
 static const char *const state_names[] = {"serving", "starting", "draining", "shedding", "dead"};
 
-/* ---- journal, one line per event: "WALL_MS BACKEND EVENT ID SHARD SNAPSHOT NUMBER" ---- */
+/* ---- journal ---- */
+
+/*
+ * Line: "WALL_MS BACKEND EVENT ID SHARD SNAPSHOT NUMBER". NUMBER is 1 in "run" if the request is
+ * unrepeatable, 1 in "cancel" if it was running, and in "after_leave" the milliseconds since
+ * draining began; 0 otherwise.
+ */
 
 static void write_journal(const lab_searcher_t *searcher, const char *event, const char *id,
                           const char *shard, uint64_t snapshot, int64_t number)
--- a/lab/searcher_model.h
+++ b/lab/searcher_model.h
@@ -1,6 +1,6 @@
 /**
- * Model of one stand-in searcher: slots, queue, service times and states. Not thread-safe; used
- * from one event loop.
+ * Model of one stand-in searcher (the server process behind a declared backend): slots, queue,
+ * service times and states. Not thread-safe; used from one event loop.
  */
 #ifndef TEALSPAR_LAB_SEARCHER_MODEL_H
 #define TEALSPAR_LAB_SEARCHER_MODEL_H
@@ -51,7 +51,7 @@
     unsigned reported_running; /**< value of the load endpoint: the sample before the last */
     unsigned reported_waiting;
     gsl_rng *random;
-    FILE *journal;
+    FILE *journal; /**< NULL: not written */
     ts_http_server_t *server;
     uv_timer_t report_timer; /**< delays updates of `reported` */
 } lab_searcher_t;
--- a/lab/sim_world.c
+++ b/lab/sim_world.c
@@ -375,7 +375,7 @@
 
 typedef struct platform_call {
     lab_sim_node_t *node;
-    uint64_t have;
+    uint64_t have; /* version that the node has; a document is sent only if it differs */
     ts_platform_document_t document_done;
     ts_platform_machines_t machines_done;
     void *context;
--- a/lab/verdict.c
+++ b/lab/verdict.c
@@ -19,7 +19,7 @@
     const lab_fault_log_t *log;
 } evaluation_t;
 
-static bool is_near(const GArray *times, int64_t at_ms)
+static bool is_near_any(const GArray *times, int64_t at_ms)
 {
     for (guint i = 0; i < times->len; i++) {
         int64_t after_ms = at_ms - g_array_index(times, int64_t, i);
@@ -83,7 +83,7 @@
     }
     if (strcmp(outcome, "refused") == 0) {
         g_hash_table_add(evaluation->refused, g_strdup(id));
-    } else if (strcmp(outcome, "lost") == 0 && is_near(evaluation->log->stops, at_ms) &&
+    } else if (strcmp(outcome, "lost") == 0 && is_near_any(evaluation->log->stops, at_ms) &&
                !is_near_disturbance(evaluation->log->disturbances, at_ms)) {
         evaluation->verdict->cut_by_stop++;
     }
--- a/lab/watch.c
+++ b/lab/watch.c
@@ -22,7 +22,7 @@
     bool is_in_flight; /* a status request is in flight */
     bool is_ready;
     size_t live_members;
-    uint64_t highest;         /* highest configuration version reported */
+    uint64_t highest_version; /* of the configurations reported */
     GArray *sightings;        /* of sighting_t, ascending by version */
     ts_time_us_t up_since_us; /* first reply since the last failed request; 0: the last failed */
     ts_time_us_t replied_us;  /* time of the last reply */
@@ -32,7 +32,7 @@
     lab_fleet_t *fleet;
     GPtrArray *nodes;
     uv_timer_t timer;
-    unsigned reverted;
+    unsigned reverted_count; /* status replies with a lower version than reported before */
 };
 
 static void record_version(watched_node_t *watched, uint64_t version)
@@ -40,11 +40,11 @@
     if (version == 0) {
         return; /* restarted, no configuration in effect yet */
     }
-    if (version < watched->highest) {
-        watched->watch->reverted++;
-    } else if (version > watched->highest) {
+    if (version < watched->highest_version) {
+        watched->watch->reverted_count++;
+    } else if (version > watched->highest_version) {
         sighting_t sighting = {version, ts_clock_now_us()};
-        watched->highest = version;
+        watched->highest_version = version;
         g_array_append_val(watched->sightings, sighting);
     }
 }
@@ -146,7 +146,7 @@
 
 unsigned lab_watch_count_reverted(const lab_watch_t *watch)
 {
-    return watch->reverted;
+    return watch->reverted_count;
 }
 
 /* Time at which a node first reported this version or a higher one; 0: never. */
