--- a/lab/faults.c
+++ b/lab/faults.c
@@ -84,7 +84,7 @@
 
 static void signal_node(const scheduled_fault_t *scheduled, int number)
 {
-    lab_node_t *node = lab_fleet_node(scheduled->fleet, scheduled->fault->target);
+    lab_node_t *node = lab_fleet_find_node(scheduled->fleet, scheduled->fault->target);
     if (node->process.is_running) {
         uv_process_kill(&node->process.handle, number);
     }
@@ -106,19 +106,19 @@
 
 static void kill_target(const scheduled_fault_t *scheduled)
 {
-    lab_node_t *node = lab_fleet_node(scheduled->fleet, scheduled->fault->target);
+    lab_node_t *node = lab_fleet_find_node(scheduled->fleet, scheduled->fault->target);
     if (node == NULL) {
         control_backend(scheduled, "{\"state\": \"dead\"}");
         return;
     }
-    node->process.is_expected_to_end = true;
+    node->process.is_exit_expected = true;
     record_disturbance(scheduled);
     signal_node(scheduled, SIGKILL);
 }
 
 static void start_target(const scheduled_fault_t *scheduled)
 {
-    lab_node_t *node = lab_fleet_node(scheduled->fleet, scheduled->fault->target);
+    lab_node_t *node = lab_fleet_find_node(scheduled->fleet, scheduled->fault->target);
     if (node == NULL) {
         control_backend(scheduled, "{\"state\": \"serving\"}");
     } else if (!node->process.is_running) {
@@ -130,14 +130,14 @@
 
 static void publish(const scheduled_fault_t *scheduled, char *text)
 {
-    lab_published_t published = {lab_config_version(text), ts_clock_now_us()};
+    lab_published_t published = {lab_config_parse_version(text), ts_clock_now_us()};
     lab_fleet_publish(scheduled->fleet, text);
     g_array_append_val(scheduled->log->published, published);
 }
 
 static void publish_change(const scheduled_fault_t *scheduled)
 {
-    uint64_t version = lab_config_version(scheduled->fleet->config_text) + 1;
+    uint64_t version = lab_config_parse_version(scheduled->fleet->config_text) + 1;
     publish(scheduled, lab_config_with_version(scheduled->fleet->config_text, version));
 }
 
@@ -149,7 +149,7 @@
 /* Writes a newer version that every node must reject: a selector refers to an undeclared group. */
 static void publish_invalid_config(const scheduled_fault_t *scheduled)
 {
-    uint64_t version = lab_config_version(scheduled->fleet->config_text) + 1;
+    uint64_t version = lab_config_parse_version(scheduled->fleet->config_text) + 1;
     char *text = lab_config_with_version(scheduled->fleet->config_text, version);
     char *bad = g_strconcat(text, "  - {kind: bad, groups: [service=nobody], wait: deadline, ",
                             "deadline_ms: 100, least_coverage_percent: 50}\n", NULL);
@@ -211,7 +211,7 @@
     set_shards(fleet, first, both);
     set_shards(fleet, second, both);
     g_free(both);
-    uint64_t version = lab_config_version(fleet->config_text) + 1;
+    uint64_t version = lab_config_parse_version(fleet->config_text) + 1;
     char *exchanged =
         exchange_shards(fleet->config_text, scheduled->fault->target, scheduled->fault->to);
     publish(scheduled, lab_config_with_version(exchanged, version));
@@ -359,11 +359,11 @@
     switch (fault->type) {
     case LAB_FAULT_KILL:
     case LAB_FAULT_START:
-        return lab_fleet_node(fleet, fault->target) != NULL ||
+        return lab_fleet_find_node(fleet, fault->target) != NULL ||
                find_backend(fleet, fault->target) != NULL;
     case LAB_FAULT_PAUSE:
     case LAB_FAULT_STOP:
-        return lab_fleet_node(fleet, fault->target) != NULL;
+        return lab_fleet_find_node(fleet, fault->target) != NULL;
     case LAB_FAULT_PARTITION:
         return fault->target != NULL &&
                (strcmp(fault->target, "*") == 0 ||
--- a/lab/load.h
+++ b/lab/load.h
@@ -1,4 +1,4 @@
-/** Types of the open-loop load generator. */
+/** Open-loop load generator: state and internal interface. */
 #ifndef TEALSPAR_LAB_LOAD_H
 #define TEALSPAR_LAB_LOAD_H
 
@@ -10,34 +10,33 @@
 #include "tealspar/histogram.h"
 #include "tealspar/http_client.h"
 
-/** One kind of query under load. */
+/** Arrivals and results of one query kind. */
 typedef struct lab_load_kind {
     char *name;
-    double rate; /**< a second */
+    double rate; /**< queries per second */
     const ts_selector_t *selector;
-    ts_time_us_t next_us;     /**< next arrival */
-    ts_histogram_t latencies; /**< of answered queries */
+    ts_time_us_t next_us;     /**< scheduled time of the next arrival */
+    ts_histogram_t latencies; /**< of answered queries, in microseconds */
     uint64_t sent;
     uint64_t answered;
     uint64_t refused;
-    uint64_t unknown;
-    uint64_t lost;
-    uint64_t true_claims;
-    double coverage_sum;
-    double coverage_least;
+    uint64_t unknown;          /**< outcome "unknown": the query may have run */
+    uint64_t lost;             /**< no reply: connection error or time-out */
+    uint64_t correct_coverage; /**< answers whose stated coverage matched their hits */
+    double coverage_sum;       /**< of the fraction of shards covered, over all answers */
+    double coverage_min;       /**< lowest fraction of shards covered by an answer */
 } lab_load_kind_t;
 
-/** One node as a balancer sees it. */
+/** A node as seen by the load balancer that the generator emulates. */
 typedef struct lab_load_node {
-    char *callers;
-    char *operators;
-    ts_http_pool_t *pool;
-    ts_http_pool_t *health;
-    bool is_ready;
-    bool is_checking;
+    char *callers_address;   /**< IP:PORT for queries */
+    char *operators_address; /**< IP:PORT for health checks */
+    ts_http_pool_t *query_pool;
+    ts_http_pool_t *health_pool;
+    bool is_ready;    /**< result of the last health check */
+    bool is_checking; /**< a health check is in flight */
 } lab_load_node_t;
 
-/** The whole generator. */
 typedef struct lab_load {
     uv_loop_t *loop;
     const ts_declarations_t *declarations;
@@ -45,22 +44,24 @@
     GPtrArray *nodes; /**< of lab_load_node_t */
     ts_time_us_t started_us;
     ts_time_us_t ends_us;
-    uint64_t next_number;
+    uint64_t next_query_number; /**< sequence number in the id of the next query */
     uint64_t seed;
-    unsigned next_node;
+    unsigned next_node; /**< round-robin counter, taken modulo the number of nodes */
     uint64_t outstanding;
-    bool is_over;
+    bool has_arrivals_ended; /**< replies may still be outstanding */
+    /** Check that hits come only from shards that the kind may query (its reach); off if the reach
+     * changes during the run. */
     bool check_reach;
     lab_violations_t violations;
-    uint64_t repeats;
+    uint64_t repeats; /**< unrepeatable queries sent again under the same id, marked as repeats */
     gsl_rng *random;
-    FILE *journal;
-    FILE *tries; /**< a line for each try of an unrepeatable query; NULL: not wanted */
+    FILE *journal; /**< one line per query; NULL: not written */
+    FILE *tries;   /**< one line per attempt of an unrepeatable query; NULL: not written */
 } lab_load_t;
 
-/** Sends one query of a kind, due at `due_us`. */
+/** Sends one query; its latency is counted from the scheduled arrival time `due_us`. */
 void lab_load_send(lab_load_t *load, lab_load_kind_t *kind, ts_time_us_t due_us);
-/** The closing report as JSON. */
+/** Returns the final report as a new JSON object. */
 json_t *lab_load_report(const lab_load_t *load);
 
 #endif
--- a/lab/soak_world.c
+++ b/lab/soak_world.c
@@ -432,7 +432,7 @@
     node->fault_changed_us = ts_clock_now_us();
 }
 
-static void handle_node_exit(void *ctx, const lab_child_end_t *end)
+static void handle_node_exit(void *ctx, const lab_child_exit_t *end)
 {
     soak_node_t *node = ctx;
     soak_t *s = node->soak;
--- a/tests/front/test_planned_stop.c
+++ b/tests/front/test_planned_stop.c
@@ -81,7 +81,7 @@
 {
     for (ts_time_us_t elapsed_us = 0; elapsed_us < LOAD_SPAN_US; elapsed_us += load->interval_us) {
         submit_round(sim, stopping, number, outcomes);
-        lab_sim_run(sim, load->interval_us);
+        lab_sim_advance(sim, load->interval_us);
     }
 }
 
@@ -100,11 +100,11 @@
     outcomes_t outcomes = {0};
     unsigned number = 0;
     for (unsigned stopping = 0; stopping < NODES; stopping++) {
-        lab_sim_run(sim, SETTLE_US);
+        lab_sim_advance(sim, SETTLE_US);
         lab_sim_stop(sim, stopping);
-        lab_sim_run(sim, LOAD_DELAY_US);
+        lab_sim_advance(sim, LOAD_DELAY_US);
         run_load(sim, load, stopping, &number, &outcomes);
-        lab_sim_run(sim, SETTLE_US);
+        lab_sim_advance(sim, SETTLE_US);
         lab_sim_start(sim, stopping);
     }
     assert_int_equal(outcomes.answered + outcomes.refused + outcomes.unknown, number);
