--- a/include/tealspar/counters.h
+++ b/include/tealspar/counters.h
@@ -14,164 +14,142 @@
 /* X(symbol, type, name, description); the type is counter (monotonic) or gauge. */
 #define TS_COUNTER_TABLE(X)                                                                        \
     X(QUERIES, counter, "queries_total", "queries received from callers")                          \
-    X(QUERIES_IN_FLIGHT, gauge, "queries_in_flight", "queries in progress")                        \
+    X(QUERIES_IN_FLIGHT, gauge, "queries_in_flight", "queries being worked on")                    \
     X(ANSWERED, counter, "queries_answered_total", "queries answered")                             \
-    X(REFUSED, counter, "queries_refused_total", "queries refused without execution")              \
-    X(UNKNOWN, counter, "queries_unknown_total",                                                   \
-      "queries without an answer that may have been executed")                                     \
-    X(ABANDONED, counter, "queries_abandoned_total",                                               \
-      "queries whose caller disconnected before the answer")                                       \
+    X(REFUSED, counter, "queries_refused_total", "queries refused and not run")                    \
+    X(UNKNOWN, counter, "queries_unknown_total", "queries that may have run without an answer")    \
+    X(ABANDONED, counter, "queries_abandoned_total", "queries whose caller closed first")          \
     X(PARTIAL, counter, "answers_partial_total", "answers with less than full coverage")           \
     X(SUBREQUESTS, counter, "subrequests_total", "subrequests sent to brokers")                    \
-    X(SUBREQUESTS_LOCAL, counter, "subrequests_local_total",                                       \
-      "subrequests sent to the broker of this node")                                               \
+    X(SUBREQUESTS_LOCAL, counter, "subrequests_local_total", "subrequests to this node's broker")  \
     X(SUBREPLIES, counter, "subreplies_total", "subreplies received")                              \
     X(SUBREPLIES_UNMATCHED, counter, "subreplies_unmatched_total",                                 \
-      "subreplies dropped because no subrequest was waiting for them")                             \
-    X(HEDGES, counter, "hedges_total", "hedged subrequests sent because the first is slow")        \
-    X(HEDGES_DENIED, counter, "hedges_denied_total",                                               \
-      "hedges not sent because the budget was exhausted")                                          \
-    X(RETRIES, counter, "retries_total", "subrequests retried after a failure")                    \
-    X(RETRIES_DENIED, counter, "retries_denied_total",                                             \
-      "retries not sent because the budget was exhausted")                                         \
-    X(EXTRAS_LENT, counter, "extra_sends_lent_total",                                              \
-      "retry budget lent to other nodes, in sends")                                                \
-    X(EXTRAS_BORROWED, counter, "extra_sends_borrowed_total",                                      \
-      "retry budget borrowed from other nodes, in sends")                                          \
+      "late or crossed subreplies that were dropped")                                              \
+    X(HEDGES, counter, "hedges_total", "second subrequests sent because the first is slow")        \
+    X(HEDGES_DENIED, counter, "hedges_denied_total", "hedges not sent for want of budget")         \
+    X(RETRIES, counter, "retries_total", "subrequests sent again after a failure")                 \
+    X(RETRIES_DENIED, counter, "retries_denied_total", "retries not sent for want of budget")      \
+    X(EXTRAS_LENT, counter, "extra_sends_lent_total", "extra sends granted to other nodes")        \
+    X(EXTRAS_BORROWED, counter, "extra_sends_borrowed_total", "extra sends granted by others")     \
     X(SNAPSHOT_ASKED_AGAIN, counter, "snapshot_asked_again_total",                                 \
-      "shards queried again because they answered from another snapshot")                          \
+      "shards asked again because they answered from another snapshot")                            \
     X(PEERS_SILENT, counter, "peers_silent_total",                                                 \
-      "times a node left several subrequests unanswered for some time")                            \
-    X(CANCELS, counter, "cancels_total", "cancellations sent to brokers")                          \
-    X(BROKER_ADMITTED, counter, "broker_admitted_total", "subrequests admitted by this broker")    \
+      "times a node answered none of several subrequests for a while")                             \
+    X(CANCELS, counter, "cancels_total", "cancels sent to brokers")                                \
+    X(BROKER_ADMITTED, counter, "broker_admitted_total", "subrequests taken by this broker")       \
     X(BROKER_REFUSED, counter, "broker_refused_total", "subrequests refused by this broker")       \
     X(BROKER_QUEUED, gauge, "broker_queued", "subrequests waiting for a slot")                     \
-    X(BROKER_SLOTS_IN_USE, gauge, "broker_slots_in_use", "slots in use")                           \
-    X(BROKER_OWNED, gauge, "broker_owned_backends", "backends owned by this node")                 \
-    X(BROKER_CANCELLED, counter, "broker_cancelled_total", "subrequests cancelled at this broker") \
+    X(BROKER_SLOTS_IN_USE, gauge, "broker_slots_in_use", "slots reserved now")                     \
+    X(BROKER_OWNED, gauge, "broker_owned_backends", "back ends this node owns")                    \
+    X(BROKER_CANCELLED, counter, "broker_cancelled_total", "subrequests cancelled at the broker")  \
     X(SEARCHER_REQUESTS, counter, "searcher_requests_total", "requests sent to searchers")         \
-    X(SEARCHER_ERRORS, counter, "searcher_errors_total", "failed requests to searchers")           \
-    X(IDEMPOTENCY_ENTRIES, gauge, "idempotency_entries",                                           \
-      "ids of unrepeatable requests in the idempotency table")                                     \
+    X(SEARCHER_ERRORS, counter, "searcher_errors_total", "requests to searchers that failed")      \
+    X(IDEMPOTENCY_ENTRIES, gauge, "idempotency_entries", "unrepeatable ids remembered")            \
     X(IDEMPOTENCY_REPLAYED, counter, "idempotency_replayed_total",                                 \
-      "repeated requests answered from the idempotency table")                                     \
+      "repeats answered from the table of unrepeatable requests")                                  \
     X(MESH_MESSAGES_SENT, counter, "mesh_messages_sent_total", "messages sent to other nodes")     \
     X(MESH_MESSAGES_RECEIVED, counter, "mesh_messages_received_total",                             \
       "messages received from other nodes")                                                        \
     X(MESH_MESSAGES_DROPPED, counter, "mesh_messages_dropped_total",                               \
-      "messages to other nodes that were dropped")                                                 \
-    X(MESH_BYTES_SENT, counter, "mesh_bytes_sent_total", "bytes of messages sent to other nodes")  \
-    X(MESH_BYTES_RECEIVED, counter, "mesh_bytes_received_total",                                   \
-      "bytes of messages received from other nodes")                                               \
+      "messages to other nodes that found no room")                                                \
+    X(MESH_BYTES_SENT, counter, "mesh_bytes_sent_total", "bytes of messages sent")                 \
+    X(MESH_BYTES_RECEIVED, counter, "mesh_bytes_received_total", "bytes of messages received")     \
     X(MESH_REFUSED, counter, "mesh_messages_refused_total",                                        \
-      "messages refused: malformed, or of another cluster or protocol version")                    \
+      "messages from strangers or of another protocol version")                                    \
     X(MESH_PEERS, gauge, "mesh_peers", "connections to other nodes")                               \
     X(CONTROL_BYTES_SENT, counter, "control_bytes_sent_total", "bytes of control messages sent")   \
-    X(MEMBERS_LIVE, gauge, "members_live", "nodes considered live, including this one")            \
-    X(MEMBERS_SUSPECT, gauge, "members_suspect", "nodes suspected to be dead")                     \
+    X(MEMBERS_LIVE, gauge, "members_live", "nodes believed live, this one included")               \
+    X(MEMBERS_SUSPECT, gauge, "members_suspect", "nodes under suspicion")                          \
     X(MEMBER_DEATHS, counter, "member_deaths_total", "nodes declared dead")                        \
     X(MEMBER_REFUTATIONS, counter, "member_refutations_total",                                     \
       "times this node refuted a suspicion against itself")                                        \
-    X(CONFIG_VERSION, gauge, "config_version", "version of the declarations in effect")            \
-    X(CONFIG_ACCEPTED, counter, "config_accepted_total", "declarations accepted and applied")      \
-    X(CONFIG_REFUSED, counter, "config_refused_total", "declarations refused as invalid")          \
-    X(CONFIG_STALE, counter, "config_stale_total",                                                 \
-      "declarations ignored because their version is older")                                       \
-    X(CONFIG_FROM_PEER, counter, "config_from_peer_total",                                         \
-      "configuration documents and updates received from other nodes")                             \
-    X(PLATFORM_FAILURES, counter, "platform_failures_total", "failed requests to the platform")    \
-    X(LOOP_STALLS, counter, "loop_stalls_total", "event loop stalls above the threshold")          \
-    X(HTTP_BAD_REQUESTS, counter, "http_bad_requests_total", "malformed requests refused")         \
-    X(REQUESTS, counter, "requests_total", "complete requests received from callers")              \
+    X(CONFIG_VERSION, gauge, "config_version", "version of the declarations in force")             \
+    X(CONFIG_ACCEPTED, counter, "config_accepted_total", "declarations put in force")              \
+    X(CONFIG_REFUSED, counter, "config_refused_total", "declarations refused whole")               \
+    X(CONFIG_STALE, counter, "config_stale_total", "older declarations ignored")                   \
+    X(CONFIG_FROM_PEER, counter, "config_from_peer_total", "documents given by other nodes")       \
+    X(PLATFORM_FAILURES, counter, "platform_failures_total", "failed reads of the platform")       \
+    X(LOOP_STALLS, counter, "loop_stalls_total", "times the loop woke up late past the bound")     \
+    X(HTTP_BAD_REQUESTS, counter, "http_bad_requests_total", "requests refused as malformed")      \
+    X(REQUESTS, counter, "requests_total", "requests of callers that were read whole")             \
     X(REQUESTS_OK, counter, "requests_ok_total", "requests answered with success")                 \
-    X(REQUESTS_PARTIAL, counter, "requests_partial_total",                                         \
-      "requests answered with success and parts missing")                                          \
-    X(REQUESTS_REFUSED, counter, "requests_refused_total", "requests refused without execution")   \
-    X(REQUESTS_FAILED, counter, "requests_failed_total",                                           \
-      "failed requests that may have been executed")                                               \
-    X(REQUESTS_LEFT, counter, "requests_left_total",                                               \
-      "requests whose caller disconnected before the response")                                    \
-    X(SENDS, counter, "sends_total", "requests and request parts sent to backends")                \
-    X(SENDS_REGION, counter, "sends_region_total", "sends to other zones of the same region")      \
-    X(SENDS_FAR, counter, "sends_far_total", "sends to other regions")                             \
-    X(SEND_FAILURES, counter, "send_failures_total", "sends without a usable response")            \
+    X(REQUESTS_PARTIAL, counter, "requests_partial_total", "successes with parts missing")         \
+    X(REQUESTS_REFUSED, counter, "requests_refused_total", "requests refused and not run")         \
+    X(REQUESTS_FAILED, counter, "requests_failed_total", "requests that may have run and failed")  \
+    X(REQUESTS_LEFT, counter, "requests_left_total", "requests whose caller left first")           \
+    X(SENDS, counter, "sends_total", "requests and parts sent to back ends")                       \
+    X(SENDS_REGION, counter, "sends_region_total", "of these, to other zones of the region")       \
+    X(SENDS_FAR, counter, "sends_far_total", "of these, to other regions")                         \
+    X(SEND_FAILURES, counter, "send_failures_total", "sends without a usable answer")              \
     X(SENDS_BROKEN, counter, "sends_broken_total",                                                 \
-      "failed sends whose connection broke after the request was sent")                            \
+      "of these, ended by their connection after they had left")                                   \
     X(STANDSTILLS, counter, "standstills_total",                                                   \
-      "process stalls: the process was frozen or the machine suspended")                           \
+      "times this process stood still, frozen or with its machine")                                \
     X(INSTANCE_CHECKS, counter, "instance_checks_total",                                           \
-      "connections opened to check whether a backend is alive")                                    \
+      "connections opened to learn whether a back end lives")                                      \
     X(INSTANCES_REBORN, counter, "instances_reborn_total",                                         \
-      "searchers that restarted under the same id")                                                \
+      "searchers that began another life under their id")                                          \
     X(INSTANCES_ENDED, counter, "instances_ended_total",                                           \
-      "backends found to have terminated: nothing listens on the address")                         \
+      "back ends where nobody listens any more")                                                   \
     X(QUARANTINE_SUSPECTED, counter, "quarantine_suspected_total",                                 \
-      "requests suspected because the backends of all their sends terminated")                     \
-    X(QUARANTINE_TRIALS, counter, "quarantine_trials_total",                                       \
-      "trials of suspected requests by an isolated send")                                          \
+      "requests under all of whose sends back ends ended")                                         \
+    X(QUARANTINE_TRIALS, counter, "quarantine_trials_total", "tries of suspects by a lone send")   \
     X(QUARANTINE_STRIKES, counter, "quarantine_strikes_total",                                     \
-      "backends that terminated during an isolated send")                                          \
-    X(QUARANTINE_HELD, counter, "quarantine_held_total", "requests put into quarantine")           \
-    X(QUARANTINE_CLEARED, counter, "quarantine_cleared_total",                                     \
-      "suspected requests that completed later")                                                   \
+      "back ends that ended under a lone send")                                                    \
+    X(QUARANTINE_HELD, counter, "quarantine_held_total", "requests that were put on hold")         \
+    X(QUARANTINE_CLEARED, counter, "quarantine_cleared_total", "suspects that then ran whole")     \
     X(QUARANTINE_REFUSED, counter, "quarantine_refused_total",                                     \
-      "attempts refused because their request is quarantined")                                     \
-    X(QUARANTINE_ENTRIES, gauge, "quarantine_entries", "requests in quarantine")                   \
+      "tries that were refused as their request is on hold")                                       \
+    X(QUARANTINE_ENTRIES, gauge, "quarantine_entries", "requests on hold now")                     \
     X(QUARANTINE_PUSHED_OUT, counter, "quarantine_pushed_out_total",                               \
-      "suspected requests evicted because the table was full")                                     \
+      "suspects that were forgotten for want of room")                                             \
     X(QUARANTINE_FULL, counter, "quarantine_full_total",                                           \
-      "requests not quarantined because the table was full")                                       \
-    X(CONNECTS, counter, "connects_total", "connections opened to backends")                       \
-    X(CONNECTS_FAILED, counter, "connects_failed_total", "failed connection attempts to backends") \
+      "requests that were not put on hold for want of room")                                       \
+    X(CONNECTS, counter, "connects_total", "connections opened to back ends")                      \
+    X(CONNECTS_FAILED, counter, "connects_failed_total", "connections that did not come up")       \
     X(INSTANCES_SUSPECTED, counter, "instances_suspected_total",                                   \
-      "times a backend was suspected because a send was overdue")                                  \
+      "times a back end had something overdue")                                                    \
     X(EVIDENCE_WITHHELD, counter, "evidence_withheld_total",                                       \
-      "times evidence about backends was not shared because most looked bad at once")              \
+      "times nothing was told of back ends, as most looked bad from here at once")                 \
     X(EVIDENCE_STALE, counter, "evidence_stale_total",                                             \
-      "evidence messages ignored because a newer one of the same node was known")                  \
+      "messages of evidence that were older than another from the same node")                      \
     X(PEERS_UNHEARD, counter, "peers_unheard_total",                                               \
-      "connections to peers closed because messages were not acknowledged")                        \
-    X(RATE_ASKS, counter, "rate_asks_total",                                                       \
-      "claims for tokens of tenant rate limits sent to other nodes")                               \
-    X(RATE_DEALS, counter, "rate_deals_total", "claims of other nodes that were answered")         \
+      "connections to peers given up as what was sent on them was not heard")                      \
+    X(RATE_ASKS, counter, "rate_asks_total", "tokens of tenants' limits asked for at other nodes") \
+    X(RATE_DEALS, counter, "rate_deals_total", "such asks of others that were answered")           \
     X(RATE_ASKS_ASTRAY, counter, "rate_asks_astray_total",                                         \
-      "claims for tenants for which this node is not the issuer")                                  \
-    X(RATE_LEASES, gauge, "rate_leases", "tenants for whose rate limits this node has a lease")    \
-    X(RATE_ACCOUNTS, gauge, "rate_accounts", "tenants for which this node is the issuer")          \
+      "such asks for what this node does not deal out")                                            \
+    X(RATE_LEASES, gauge, "rate_leases", "tenants of whose limits this node may hold tokens")      \
+    X(RATE_ACCOUNTS, gauge, "rate_accounts", "tenants whose limits this node deals out")           \
     X(STORE_CALLS, counter, "store_calls_total", "calls to the configuration service")             \
-    X(STORE_FAILURES, counter, "store_failures_total",                                             \
-      "failed calls to the configuration service")                                                 \
-    X(STORE_LISTS, counter, "store_lists_total", "complete listings of the configuration service") \
+    X(STORE_FAILURES, counter, "store_failures_total", "failed calls to it")                       \
+    X(STORE_LISTS, counter, "store_lists_total", "times its entries were read whole")              \
     X(STORE_HISTORY_GONE, counter, "store_history_gone_total",                                     \
-      "waits for changes after a revision that the configuration service no longer has")           \
+      "waits for changes after a revision that it does not have")                                  \
     X(STORE_EPOCH, gauge, "store_epoch",                                                           \
-      "epoch of the configuration service, as known to this node")                                 \
-    X(STORE_RESTORES, counter, "store_restores_total",                                             \
-      "times the configuration service was restored from an older copy")                           \
+      "epoch of the configuration service, as this node knows it")                                 \
+    X(STORE_RESTORES, counter, "store_restores_total", "times it came back from an older copy")    \
     X(STORE_FORMER_ENTRIES, gauge, "store_former_entries",                                         \
-      "entries of an earlier epoch, in effect until they are written again")                       \
-    X(STORE_REVISION, gauge, "store_revision",                                                     \
-      "last applied revision of the configuration service")                                        \
+      "entries that stand from before it came back, until they are written again")                 \
+    X(STORE_REVISION, gauge, "store_revision", "revision up to which its changes are applied")     \
     X(CONFIG_VERSION_LISTED, gauge, "config_version_listed",                                       \
-      "version last listed by the configuration service; may be older than the one in effect")     \
-    X(CALLER_CONNECTIONS, gauge, "caller_connections", "open connections from callers")            \
+      "version of the configuration that it last gave, which may be older than the one in force")  \
+    X(CALLER_CONNECTIONS, gauge, "caller_connections", "open connections of callers")              \
     X(PARTS_LOST, counter, "parts_lost_total", "parts that no searcher answered")                  \
     X(PARTS_EXCLUDED, counter, "parts_excluded_total",                                             \
-      "parts excluded because no backend is in an allowed region")                                 \
+      "parts left out because no back end stands where they may be served")                        \
     X(CONFIG_CONFIRMED_AGE, gauge, "config_confirmed_age_milliseconds",                            \
-      "time since the configuration service confirmed the state of this node")                     \
-    X(INSTANCES_LISTED, gauge, "instances_listed", "backends listed by discovery")                 \
+      "time since the configuration service confirmed what this node knows")                       \
+    X(INSTANCES_LISTED, gauge, "instances_listed", "back ends that discovery names")               \
     X(LOG_LINES_DROPPED, counter, "log_lines_dropped_total",                                       \
-      "log lines not written: sampled out, or the buffer was full")                                \
+      "log lines for which there was no room")                                                     \
     X(LOG_LINES, counter, "log_lines_total", "log lines written")
 
 /* X(symbol, name, description); recorded in microseconds. */
 #define TS_HISTOGRAM_TABLE(X)                                                                      \
-    X(QUERY_LATENCY, "query_latency_seconds", "time from the arrival of a query to its answer")    \
-    X(SUBREQUEST_LATENCY, "subrequest_latency_seconds",                                            \
-      "time from sending a subrequest to its subreply")                                            \
-    X(SERVICE_TIME, "searcher_service_seconds",                                                    \
-      "service time of a searcher, measured by its owner")                                         \
+    X(QUERY_LATENCY, "query_latency_seconds", "time from a query's arrival to its answer")         \
+    X(SUBREQUEST_LATENCY, "subrequest_latency_seconds", "time from sending to the subreply")       \
+    X(SERVICE_TIME, "searcher_service_seconds", "time a searcher took, seen by its owner")         \
     X(QUEUE_TIME, "broker_queue_seconds", "time a subrequest waited for a slot")
 
 #define TS_COUNTER_ENUM(symbol, type, name, description) TS_COUNTER_##symbol,
--- a/src/kernel/error.c
+++ b/src/kernel/error.c
@@ -26,5 +26,5 @@
         TS_ERROR_TABLE(TS_ERROR_TEXT)
 #undef TS_ERROR_TEXT
     }
-    return "unknown error";
+    return "an error that is not listed";
 }
