--- a/include/tealspar/document_loader.h
+++ b/include/tealspar/document_loader.h
@@ -15,7 +15,7 @@
 typedef struct ts_loaded_document {
     uint64_t digest;                 /**< digest of the text */
     uint64_t version;                /**< version announced by the peer; 0: from the platform */
-    ts_declarations_t *declarations; /**< the callee owns one reference; NULL if invalid */
+    ts_declarations_t *declarations; /**< the callback takes ownership; NULL if invalid */
     const ts_problems_t *problems;   /**< validation errors; valid during the callback */
 } ts_loaded_document_t;
 
--- a/include/tealspar/membership.h
+++ b/include/tealspar/membership.h
@@ -79,13 +79,13 @@
  */
 void ts_membership_begin_machines(ts_membership_t *membership);
 /**
- * Adds one machine of the platform's list, as a seed. Gossip determines its state, and its address
- * once the member was heard of.
+ * Adds one machine of the platform's list, as a seed. Its state is determined by gossip only; its
+ * address and zone are those of the list until gossip reports them.
  */
 void ts_membership_add_machine(ts_membership_t *membership, const char *name, const char *address,
                                const char *zone);
 void ts_membership_end_machines(ts_membership_t *membership);
-/** Sets this node's active configuration, which is pushed at the next tick and in every message. */
+/** Sets this node's active configuration. It is announced at the next tick and in every message. */
 void ts_membership_set_config(ts_membership_t *membership, uint64_t version, uint64_t digest);
 /** Announces that this node is leaving; begins a barrier if `uses_barriers` is set. */
 void ts_membership_leave(ts_membership_t *membership, ts_time_us_t now_us);
--- a/include/tealspar/platform.h
+++ b/include/tealspar/platform.h
@@ -8,7 +8,10 @@
 #include "tealspar/messages.h"
 #include "tealspar/node.h"
 
-/** Receives a document or an error. `text` is valid during the call; NULL if unchanged. */
+/**
+ * Receives a document or an error. `text` is valid during the call; NULL if the document is
+ * unchanged or the call failed.
+ */
 typedef void (*ts_platform_document_t)(void *context, ts_error_t error, const char *text,
                                        size_t length);
 /** Receives the machine list, or an error and NULL. The callee owns the message. */
--- a/include/tealspar/store_mirror.h
+++ b/include/tealspar/store_mirror.h
@@ -3,9 +3,9 @@
  * when that position was last confirmed. Entries arrive from the service or from peers in any
  * order; for each key one entry is effective, and changes are applied to the gateway immediately.
  *
- * A service that was restored from an older copy begins a higher epoch. Entries known before the
- * restore then keep precedence over conflicting restored ones for a rewrite window, in which their
- * writers can write them again; see docs/design/store-epochs.md.
+ * A service that was restored from an older copy begins a higher epoch. For a rewrite window,
+ * in which the writers can write their entries again, an entry known before the restore may then
+ * keep precedence over the restored one (see ts_store_resolve and docs/design/store-epochs.md).
  */
 #ifndef TEALSPAR_STORE_MIRROR_H
 #define TEALSPAR_STORE_MIRROR_H
@@ -19,7 +19,7 @@
 typedef struct ts_store_list {
     const GPtrArray *entries;     /**< of ts_store_entry_t */
     ts_store_position_t position; /**< position of the service or peer that sent the list */
-    uint64_t base_revision;       /**< see ts_store_mirror_base_revision; 0: position.revision */
+    uint64_t base_revision;       /**< see ts_store_mirror_base_revision; 0: the list's own */
     ts_time_us_t confirmed_us;    /**< when the position was confirmed as the latest */
     const char *source;           /**< sender, for the log */
 } ts_store_list_t;
@@ -31,7 +31,10 @@
  */
 unsigned ts_store_mirror_apply(ts_store_mirror_t *mirror, const GPtrArray *entries,
                                ts_store_position_t from);
-/** Records that all changes up to `position` are applied, confirmed at `confirmed_us`. */
+/**
+ * Records that all changes up to `position` are applied, confirmed at `confirmed_us`. Ignored if
+ * the position is of another epoch or an earlier revision than the mirror's.
+ */
 void ts_store_mirror_advance(ts_store_mirror_t *mirror, ts_store_position_t position,
                              ts_time_us_t confirmed_us);
 /** Records that the position was confirmed as the latest at `confirmed_us`. */
@@ -39,8 +42,8 @@
 /**
  * Applies a complete list; returns how many entries changed the mirror. Entries that the list does
  * not contain are marked deleted, except configurations, entries changed after the list's position,
- * and entries of an earlier epoch within their rewrite window. A list older than the mirror's
- * position deletes nothing.
+ * and entries of an earlier epoch while the rewrite window for their kind is open. A list older
+ * than the mirror's position deletes nothing.
  */
 unsigned ts_store_mirror_apply_list(ts_store_mirror_t *mirror, const ts_store_list_t *list);
 /** Whether a complete list was applied at least once. */
--- a/include/tealspar/store_position.h
+++ b/include/tealspar/store_position.h
@@ -14,7 +14,7 @@
     uint64_t revision;
 } ts_store_position_t;
 
-/** Low bits of an internal epoch; they count restores that the service did not report. */
+/** Number of low bits of an internal epoch; they count restores that the service did not report. */
 #define TS_STORE_EPOCH_SHIFT 16U
 
 /** First internal epoch for an epoch number reported by the service; 0: none is reported. */
@@ -29,7 +29,7 @@
     return epoch >> TS_STORE_EPOCH_SHIFT;
 }
 
-/** Number of unreported restores since the service first reported that number. */
+/** Number of unreported restores since the service first reported its current epoch number. */
 static inline uint64_t ts_store_epoch_resets(uint64_t epoch)
 {
     return epoch - ts_store_epoch_from_reported(ts_store_epoch_reported(epoch));
--- a/include/tealspar/store_precedence.h
+++ b/include/tealspar/store_precedence.h
@@ -12,7 +12,7 @@
 typedef struct ts_store_epoch_state {
     uint64_t epoch;
     uint64_t base_revision; /**< entries changed at a higher revision were written in this epoch */
-    bool is_window_open;    /**< writers may still be writing again what the restore lost */
+    bool is_window_open;    /**< the rewrite window for the entry's kind is open */
 } ts_store_epoch_state_t;
 
 typedef enum ts_store_decision {
--- a/src/control/configuration.c
+++ b/src/control/configuration.c
@@ -18,11 +18,14 @@
 #define TICK_MS 100
 /* A tick adds at most this to `listen_time_us`; a longer gap means that the process was stalled. */
 #define TICK_CREDIT_MAX_US (150 * TS_US_PER_MS)
-/* How long a starting node that hears no peer waits before it trusts the platform alone. */
+/* How long a starting node waits for an announcement before it accepts the platform's document. */
 #define PEER_WAIT_US (3000ULL * TS_US_PER_MS)
 /* How long to wait after the first peer's announcement: others may have a newer version. */
 #define PEER_SETTLE_US (500ULL * TS_US_PER_MS)
-/* An announced newer version that no peer delivers is no longer waited for after this time. */
+/*
+ * How long a starting node waits for a newer version that was announced but not delivered, before
+ * it accepts an older document.
+ */
 #define NEWER_VERSION_WAIT_US (20ULL * TS_US_PER_S)
 /* After this time a document that has not arrived is requested from the next announcing peer. */
 #define FETCH_RETRY_INTERVAL_US (500ULL * TS_US_PER_MS)
@@ -124,9 +127,10 @@
 }
 
 /*
- * Whether a document can be accepted already: a peer has announced its version and none was newer,
- * or there was enough time for an announcement. Peers without a configuration prove nothing, as
- * they may have started together with this node.
+ * Whether a document can be accepted now. Only a node without an active document waits: for further
+ * announcements after the first one, for any announcement, or for a newer version that a peer has
+ * announced. Peers without a configuration announce none, which proves nothing, as they may have
+ * started together with this node.
  */
 static bool can_accept(const configuration_t *configuration, const ts_declarations_t *declarations)
 {
@@ -201,6 +205,11 @@
     ts_task_send(configuration->mesh, &message->head);
 }
 
+/*
+ * Whether to request an announced document: its version is higher than the active one's and it is
+ * not the document refused last, or it has the active version and a higher digest (see
+ * compare_with_active). While none is active, it must also be newer than the pending one.
+ */
 static bool should_fetch(const configuration_t *configuration, uint64_t version, uint64_t digest)
 {
     const ts_declarations_t *active = configuration->declarations;
@@ -224,7 +233,10 @@
     accept_or_defer(configuration, pending);
 }
 
-/* Handles a peer's announcement of its version; requests the document if it is newer. */
+/*
+ * Handles a peer's announcement of its version; requests the document if it is newer, unless that
+ * version or a later one was requested less than FETCH_RETRY_INTERVAL_US ago.
+ */
 static void handle_announcement(configuration_t *configuration,
                                 const ts_document_message_t *message)
 {
@@ -320,16 +332,16 @@
 {
     const configuration_t *configuration = ts_node_state(node, "configuration");
     const ts_declarations_t *active = configuration->declarations;
-    json_t *view = json_object();
-    json_object_set_new(view, "version",
+    json_t *description = json_object();
+    json_object_set_new(description, "version",
                         json_integer(active == NULL ? 0 : (json_int_t)active->version));
     char digest[20];
     g_snprintf(digest, sizeof(digest), "%016" PRIx64, active == NULL ? 0 : active->digest);
-    json_object_set_new(view, "digest", json_string(digest));
+    json_object_set_new(description, "digest", json_string(digest));
     if (configuration->refused_reason != NULL) {
-        json_object_set_new(view, "refused", json_string(configuration->refused_reason));
+        json_object_set_new(description, "refused", json_string(configuration->refused_reason));
     }
-    json_object_set_new(status, "configuration", view);
+    json_object_set_new(status, "configuration", description);
 }
 
 static void close_configuration(ts_node_t *node)
--- a/src/control/membership.c
+++ b/src/control/membership.c
@@ -6,12 +6,16 @@
 #include <math.h>
 #include <string.h>
 
+/* The suspicion timeout is the base plus this much per factor of ten in the number of members. */
 #define SUSPICION_BASE_US (3200ULL * TS_US_PER_MS)
 #define SUSPICION_PER_DECADE_US (600.0 * TS_US_PER_MS)
+/* Number of members to which new rumours are pushed. */
 #define PUSH_FANOUT 4U
 #define PUSH_TARGET_ATTEMPTS 8U
+/* Messages that carry a rumour: the base plus this many per factor of ten in members. */
 #define RUMOUR_SENDS_BASE 3.0
 #define RUMOUR_SENDS_PER_DECADE 3.0
+/* Mean interval between probes of dead members, see probe_dead_member. */
 #define DEAD_RETRY_US (5ULL * TS_US_PER_S)
 /*
  * A joining node asks one node at a time: each answers with the full member list, and asking
@@ -80,8 +84,8 @@
                          uint64_t incarnation)
 {
     ts_member_state_t old = member->state;
-    bool is_return = state == TS_MEMBER_LIVE || state == TS_MEMBER_SUSPECT;
-    member->has_left = state == TS_MEMBER_LEAVING || (member->has_left && !is_return);
+    bool is_running = state == TS_MEMBER_LIVE || state == TS_MEMBER_SUSPECT;
+    member->has_left = state == TS_MEMBER_LEAVING || (member->has_left && !is_running);
     member->incarnation = incarnation;
     member->state = state;
     member->state_since_us = m->now_us;
@@ -109,10 +113,10 @@
     g_hash_table_insert(m->members, member->name, member);
     g_ptr_array_add(m->order, member);
     if (m->order->len > 1) { /* insert at a random position */
-        guint other = (guint)(ts_member_next_random(m) % m->order->len);
-        gpointer swapped = m->order->pdata[other];
-        m->order->pdata[other] = member;
-        m->order->pdata[m->order->len - 1] = swapped;
+        guint position = (guint)(ts_member_next_random(m) % m->order->len);
+        gpointer displaced = m->order->pdata[position];
+        m->order->pdata[position] = member;
+        m->order->pdata[m->order->len - 1] = displaced;
     }
     return member;
 }
@@ -291,23 +295,24 @@
 }
 
 /*
- * Whether a majority of the zone's nodes is active, this node included. Active nodes count, and so
- * do listed ones unless they have left.
+ * Whether this node can reach a majority of its zone: more than half of the zone's nodes, this one
+ * included, are active; an acknowledgement was received since the last stall; and this node is not
+ * isolated. The zone's nodes are the active ones and the listed ones that have not left.
  */
 static bool has_quorum(const ts_membership_t *m)
 {
-    unsigned known = 0;
+    unsigned zone_nodes = 0;
     unsigned active = 0;
     for (guint i = 0; i < m->order->len; i++) {
         const member_t *member = g_ptr_array_index(m->order, i);
-        bool counts = ts_member_is_active(member) || (member->is_listed && !member->has_left);
-        if (!ts_member_is_same_zone(m, member) || !counts) {
+        bool is_counted = ts_member_is_active(member) || (member->is_listed && !member->has_left);
+        if (!ts_member_is_same_zone(m, member) || !is_counted) {
             continue;
         }
-        known++;
+        zone_nodes++;
         active += ts_member_is_active(member);
     }
-    return active * 2 > known && !m->is_unacked_since_stall && !ts_member_is_isolated(m);
+    return active * 2 > zone_nodes && !m->is_unacked_since_stall && !ts_member_is_isolated(m);
 }
 
 static int compare_names(const void *left, const void *right)
--- a/src/control/membership_barrier.c
+++ b/src/control/membership_barrier.c
@@ -19,7 +19,7 @@
 
 static void probe_unacked_members(ts_membership_t *m)
 {
-    m->next_barrier_us = m->now_us + BARRIER_RETRY_INTERVAL_US;
+    m->next_barrier_retry_us = m->now_us + BARRIER_RETRY_INTERVAL_US;
     for (guint i = 0; i < m->order->len; i++) {
         const member_t *member = g_ptr_array_index(m->order, i);
         if (member->barrier_sequence != 0 && ts_member_is_active(member))
@@ -40,7 +40,7 @@
 
 void ts_member_check_barrier(ts_membership_t *m)
 {
-    if (m->barrier_until_us > m->now_us && m->now_us >= m->next_barrier_us)
+    if (m->barrier_until_us > m->now_us && m->now_us >= m->next_barrier_retry_us)
         probe_unacked_members(m);
 }
 
--- a/src/control/membership_internal.h
+++ b/src/control/membership_internal.h
@@ -66,7 +66,7 @@
     unsigned attempts; /* join requests and probe rounds so far; selects the next target's zone */
     probe_t probe;
     GHashTable *relays; /* sequence -> relay_t, owned */
-    uint64_t sequence;
+    uint64_t sequence;  /* of the last probe sent by this node, barrier probes included */
     uint64_t random_state;
     uint64_t config_version;
     uint64_t config_digest;
@@ -75,12 +75,12 @@
     ts_time_us_t next_join_us;
     ts_time_us_t next_dead_retry_us;
     ts_time_us_t next_sync_us;
-    ts_time_us_t next_resend_us; /* of recent changes to a peer with another view */
-    ts_time_us_t sync_interval_us;
-    uint64_t digest; /* of the view; see ts_member_digest_view */
+    ts_time_us_t next_resend_us;   /* of recent changes to a peer with another view */
+    ts_time_us_t sync_interval_us; /* between full exchanges; doubles with each one */
+    uint64_t digest;               /* of the view; see ts_member_digest_view */
     bool is_digest_valid;
     ts_time_us_t barrier_until_us; /* 0: no barrier was begun */
-    ts_time_us_t next_barrier_us;
+    ts_time_us_t next_barrier_retry_us;
     ts_time_us_t suspicion_paused_until_us;
     uint64_t ownership_epoch;    /* see ts_view_t; incremented by refutations and stalls */
     unsigned probe_history;      /* results of probes within the zone, latest in bit 0; 1: failed */
@@ -96,7 +96,7 @@
 uint64_t ts_member_next_random(ts_membership_t *m);
 /** Returns the member with that name, or NULL. */
 member_t *ts_member_find_member(const ts_membership_t *m, const char *name);
-/** How many messages carry each rumour. */
+/** Number of messages that carry each rumour; grows with the number of members. */
 unsigned ts_member_rumour_limit(const ts_membership_t *m);
 /** Changes a member's state and incarnation; all state changes go through here. */
 void ts_member_set_state(ts_membership_t *m, member_t *member, ts_member_state_t state,
@@ -111,12 +111,16 @@
 /** Digest of the names and incarnations of all active members; cached until a state changes. */
 uint64_t ts_member_digest_view(ts_membership_t *m);
 /**
- * Sends one gossip message with the rumours that are due to the node with that name and address.
- * `target`: the member to probe, for GOSSIP_PING_REQUEST; otherwise NULL.
+ * Sends one gossip message to the node with that name and address, together with the rumours that
+ * have the most sends left. `sequence` is 0 unless the message belongs to a probe. `target`: the
+ * member to probe, for GOSSIP_PING_REQUEST; otherwise NULL.
  */
 void ts_member_send_gossip(ts_membership_t *m, const char *name, const char *address,
                            gossip_type_t type, uint64_t sequence, const char *target);
-/** Sends the full member list, split into messages of bounded size. */
+/**
+ * Sends all members that have been heard of, dead ones included, split into messages of bounded
+ * size. Machines known from the platform's list only are left out.
+ */
 void ts_member_send_sync(ts_membership_t *m, const char *name, const char *address);
 /** Whether a member is live, suspect or leaving. */
 bool ts_member_is_active(const member_t *member);
@@ -135,6 +139,7 @@
 void ts_member_record_probe(ts_membership_t *m, const member_t *target, bool has_failed);
 /** Checks the pending probe for timeouts: sends indirect probes, then suspects the target. */
 void ts_member_check_probe(ts_membership_t *m);
+/** Starts the next probe if it is due and no other probe is pending. */
 void ts_member_start_due_probe(ts_membership_t *m);
 /** Starts probing all other active members until each has acknowledged or the barrier times out. */
 void ts_member_begin_barrier(ts_membership_t *m);
@@ -153,6 +158,6 @@
  */
 void ts_member_advance_clock(ts_membership_t *m, ts_time_us_t now_us);
 /** Replaces an owned string if the new one differs. */
-void ts_member_replace_string(char **place, const char *text);
+void ts_member_replace_string(char **string, const char *text);
 
 #endif
--- a/src/control/membership_receive.c
+++ b/src/control/membership_receive.c
@@ -1,4 +1,4 @@
-/** Membership: received messages: rumours, probes, acknowledgements, and differing views. */
+/** Membership: handles received messages and reconciles views that differ from those of peers. */
 #include "membership_internal.h"
 
 #include <string.h>
@@ -21,6 +21,10 @@
     return state > member->state;
 }
 
+/*
+ * Contradicts a false rumour about this node by announcing its state with a higher incarnation.
+ * Others may have taken over its backends meanwhile, so a new ownership epoch begins.
+ */
 static void refute(ts_membership_t *m, uint64_t incarnation)
 {
     ts_count(TS_COUNTER_MEMBER_REFUTATIONS, 1);
@@ -30,11 +34,11 @@
     ts_member_set_state(m, m->self, state, MAX(incarnation, m->self->incarnation) + 1);
 }
 
-void ts_member_replace_string(char **place, const char *text)
+void ts_member_replace_string(char **string, const char *text)
 {
-    if (strcmp(*place, text) != 0) {
-        g_free(*place);
-        *place = g_strdup(text);
+    if (strcmp(*string, text) != 0) {
+        g_free(*string);
+        *string = g_strdup(text);
     }
 }
 
--- a/src/control/membership_task.c
+++ b/src/control/membership_task.c
@@ -21,7 +21,7 @@
     ts_timer_t timer;
     bool is_published;
     bool had_quorum;
-    bool is_broker_idle; /* while stopping */
+    bool is_broker_idle; /* the broker has no work left; set while the node stops */
 } membership_task_t;
 
 static void send_gossip(void *context, const char *name, const char *address, const uint8_t *bytes,
@@ -82,7 +82,7 @@
 {
     membership_task_t *task = timer->data;
     ts_membership_tick(task->membership, ts_clock_now_us());
-    if (!task->is_published) {
+    if (!task->is_published) { /* LONE_NODE_WAIT_US may have passed without a view change */
         publish_view(task);
     }
 }
--- a/src/control/membership_wire.c
+++ b/src/control/membership_wire.c
@@ -29,16 +29,16 @@
         if (member->rumour_sends_left == 0) {
             continue;
         }
-        size_t place = count;
-        while (place > 0 && chosen[place - 1]->rumour_sends_left < member->rumour_sends_left) {
-            place--;
+        size_t index = count;
+        while (index > 0 && chosen[index - 1]->rumour_sends_left < member->rumour_sends_left) {
+            index--;
         }
-        if (place >= RUMOURS_PER_MESSAGE) {
+        if (index >= RUMOURS_PER_MESSAGE) {
             continue;
         }
         size_t last = MIN(count, RUMOURS_PER_MESSAGE - 1);
-        memmove(&chosen[place + 1], &chosen[place], (last - place) * sizeof(member_t *));
-        chosen[place] = member;
+        memmove(&chosen[index + 1], &chosen[index], (last - index) * sizeof(member_t *));
+        chosen[index] = member;
         count = last + 1;
     }
     for (size_t i = 0; i < count; i++) {
--- a/src/control/mesh.c
+++ b/src/control/mesh.c
@@ -100,7 +100,7 @@
 static void queue_message(peer_t *peer, ts_message_t *message)
 {
     if (peer == NULL) {
-        /* Not marked as kept, so the task kernel destroys the message. */
+        /* Not marked as retained, so the task kernel destroys the message. */
         ts_count_error(TS_E_PEER_LOST);
         ts_log(TS_EVENT_FRAMES_LOST, "peer=- reason=unknown_peer type=%d", (int)message->type);
         return;
--- a/src/control/platform_http.c
+++ b/src/control/platform_http.c
@@ -53,8 +53,8 @@
     document_call_t *call = g_new0(document_call_t, 1);
     call->done = done;
     call->context = context;
-    ts_http_client_request_t send = {"GET", "/config", header, NULL, 0};
-    ts_http_call(pool, &send, on_document, call);
+    ts_http_client_request_t request = {"GET", "/config", header, NULL, 0};
+    ts_http_call(pool, &request, on_document, call);
 }
 
 static bool add_machine(ts_machines_message_t *message, const json_t *row)
@@ -103,8 +103,8 @@
     machines_call_t *call = g_new0(machines_call_t, 1);
     call->done = done;
     call->context = context;
-    ts_http_client_request_t send = {"GET", "/machines", NULL, NULL, 0};
-    ts_http_call(pool, &send, on_machines, call);
+    ts_http_client_request_t request = {"GET", "/machines", NULL, NULL, 0};
+    ts_http_call(pool, &request, on_machines, call);
 }
 
 static const ts_platform_t platform_http = {open_platform, read_document, read_machines};
--- a/src/control/platform_reader.c
+++ b/src/control/platform_reader.c
@@ -14,6 +14,7 @@
 
 #define READERS_PER_ZONE 2U
 #define POLL_MS 500
+/* A reader reads the machine list with one poll in this many. */
 #define MACHINES_EVERY_POLLS 4U
 /*
  * A document is forwarded only once the machine list was read too, so that a starting node knows
@@ -35,7 +36,7 @@
     bool is_reader;
     bool is_document_call_pending;
     bool is_machines_call_pending;
-    bool is_lost;
+    bool is_lost;      /* the last call failed */
     bool has_machines; /* the machine list was read at least once */
 } reader_t;
 
@@ -55,8 +56,8 @@
     reader_t *reader = context;
     reader->is_document_call_pending = false;
     record_result(reader, error);
-    bool has_peers = reader->has_machines || reader->polls > MAX_POLLS_WITHOUT_MACHINES;
-    if (error != TS_OK || text == NULL || !has_peers) {
+    bool can_forward = reader->has_machines || reader->polls > MAX_POLLS_WITHOUT_MACHINES;
+    if (error != TS_OK || text == NULL || !can_forward) {
         return;
     }
     ts_document_message_t *message = ts_document_message(NULL, NULL);
@@ -93,8 +94,8 @@
     }
 }
 
-/* Whether this node is among the READERS_PER_ZONE highest-ranked live nodes of its zone. */
-static bool ranks_as_reader(const ts_view_t *view)
+/* Whether fewer than READERS_PER_ZONE live nodes of the zone have a higher rendezvous weight. */
+static bool should_be_reader(const ts_view_t *view)
 {
     const ts_view_member_t *self = NULL;
     for (size_t i = 0; i < view->count; i++) {
@@ -102,22 +103,22 @@
             self = &view->members[i];
         }
     }
-    unsigned higher = 0;
+    unsigned higher_weights = 0;
     uint64_t key = ts_hash_text("platform reader");
     for (size_t i = 0; self != NULL && i < view->count; i++) {
         const ts_view_member_t *member = &view->members[i];
         bool is_candidate =
             strcmp(member->zone, self->zone) == 0 && member->state == TS_MEMBER_LIVE;
-        higher += is_candidate && ts_hash_mix(member->id, key) > ts_hash_mix(self->id, key);
+        higher_weights += is_candidate && ts_hash_mix(member->id, key) > ts_hash_mix(self->id, key);
     }
-    return higher < READERS_PER_ZONE;
+    return higher_weights < READERS_PER_ZONE;
 }
 
 static void handle_message(void *state, ts_message_t *message)
 {
     reader_t *reader = state;
     if (message->type == TS_MESSAGE_VIEW) {
-        reader->is_reader = ranks_as_reader(((ts_view_message_t *)message)->view);
+        reader->is_reader = should_be_reader(((ts_view_message_t *)message)->view);
     } else if (message->type == TS_MESSAGE_DECLARATIONS) {
         reader->known_version = ((ts_declarations_message_t *)message)->declarations->version;
     }
--- a/src/control/store_client.c
+++ b/src/control/store_client.c
@@ -130,6 +130,7 @@
         return;
     }
     if (length < 0 || !client->is_call_pending) {
+        /* The end of the connection completes a response without a length. */
         if (length == UV_EOF && client->is_call_pending && ts_stream_closed_cleanly(stream)) {
             ts_http_message_finish(&connection->response);
         }
--- a/src/control/store_mirror.c
+++ b/src/control/store_mirror.c
@@ -259,6 +259,10 @@
     return true;
 }
 
+/*
+ * Makes an entry effective and applies it to the registry if it differs from the previous one. An
+ * entry of the current epoch supersedes the deferred one.
+ */
 static void set_effective(ts_store_mirror_t *mirror, mirror_entry_t *item,
                           const ts_store_entry_t *entry, ts_time_us_t now_us)
 {
--- a/src/control/store_precedence.c
+++ b/src/control/store_precedence.c
@@ -11,20 +11,21 @@
 }
 
 /*
- * Whether the known instance entry takes precedence over the restored one. It does not if only the
- * restored entry says that the backend drains: the backend has begun to, and draining is never
- * undone.
+ * Whether the known instance entry takes precedence over the restored one. It does not if it is
+ * invalid, or if only the restored entry says that the backend drains: the backend has begun to
+ * drain then, and draining is never undone.
  */
 static bool instance_overrides(const ts_dialect_t *dialect, const ts_store_entry_t *known,
                                const ts_store_entry_t *restored)
 {
-    ts_instance_record_t before = {0};
-    ts_instance_record_t after = {0};
-    bool is_read = dialect->read_instance(known, &before) == TS_OK;
-    bool is_now_draining = dialect->read_instance(restored, &after) == TS_OK && after.is_draining;
-    bool overrides = is_read && (before.is_draining || !is_now_draining);
-    ts_instance_record_clear(&before);
-    ts_instance_record_clear(&after);
+    ts_instance_record_t known_record = {0};
+    ts_instance_record_t restored_record = {0};
+    bool is_known_valid = dialect->read_instance(known, &known_record) == TS_OK;
+    bool is_now_draining =
+        dialect->read_instance(restored, &restored_record) == TS_OK && restored_record.is_draining;
+    bool overrides = is_known_valid && (known_record.is_draining || !is_now_draining);
+    ts_instance_record_clear(&known_record);
+    ts_instance_record_clear(&restored_record);
     return overrides;
 }
 
--- a/src/control/store_watch.c
+++ b/src/control/store_watch.c
@@ -22,25 +22,25 @@
 #define INITIAL_LIST_TIMEOUT_GROWTH 1.5
 /*
  * Duration of a watch call (a long poll for changes). A call without a response after this and the
- * margin has failed. Their sum is the longest time before a lost call is noticed. It must be less
- * than the time that is allowed after the service's recovery until changes must take effect on time
- * again (five seconds on the platform).
+ * margin has failed, so a lost call is noticed after their sum at the latest. The sum must be less
+ * than the time after the service's recovery within which the gateway must again apply changes on
+ * time (five seconds on the platform).
  */
 #define WATCH_TIMEOUT_MS 2500
 #define WATCH_MARGIN_MS 1000
 /*
- * A watcher with dependents probes the service once a second anyway, at a tenth of the cost of a
- * watch call. Its watch calls may last longer, because the probes detect a lost one: a watch call
- * is restarted when a probe succeeds after one has failed, or when STALE_WATCH_PROBES probes in a
- * row have seen a newer revision.
+ * A watcher with followers (peers that rely on it for the changes) probes the service once a second
+ * anyway, at a tenth of the cost of a watch call. Its watch calls may last longer, because the
+ * probes detect a lost one: a watch call is restarted when a probe succeeds after one has failed,
+ * or when STALE_WATCH_PROBES probes in a row have seen a newer revision.
  */
 #define WATCH_PROBED_TIMEOUT_MS 8000
 #define STALE_WATCH_PROBES 2
 /* A gateway that has just started listens to its peers this long before it watches for changes. */
 #define PEER_WAIT_US (1000 * TS_US_PER_MS)
-/* How often a node that leaves the service to the zone's watcher checks whether it still may. */
+/* Interval at which a node that makes no watch calls (is_standby, is_settling) checks again. */
 #define STANDBY_POLL_MS 200
-/* Interval between probes of the service while other nodes depend on this one. */
+/* Interval between probes of the service by a watcher with followers. */
 #define PROBE_INTERVAL_MS 1000
 #define PROBE_TIMEOUT_MS 900
 /* Mean pause before listing again if a peer may send the entries meanwhile, as after a restore. */
@@ -327,7 +327,7 @@
     ts_store_page_free(page);
 }
 
-/* Whether a peer currently follows the service for this node. */
+/* Whether a peer currently watches the service for this node. */
 static bool is_standby(const ts_store_watch_t *watch)
 {
     const ts_gateway_t *gateway = watch->gateway;
@@ -335,13 +335,13 @@
            !ts_peers_should_watch(gateway->peers, ts_clock_now_us());
 }
 
-static bool has_dependents(const ts_store_watch_t *watch)
+static bool has_followers(const ts_store_watch_t *watch)
 {
     const ts_gateway_t *gateway = watch->gateway;
     return gateway->peers != NULL && ts_peers_has_followers(gateway->peers);
 }
 
-/* Whether this node has just started and a peer may still announce that it follows the service. */
+/* Whether this node has just started and a peer may still announce that it watches the service. */
 static bool is_settling(const ts_store_watch_t *watch)
 {
     const ts_gateway_t *gateway = watch->gateway;
@@ -351,7 +351,7 @@
 
 static void start_watch(ts_store_watch_t *watch)
 {
-    uint32_t wait_ms = has_dependents(watch) ? WATCH_PROBED_TIMEOUT_MS : WATCH_TIMEOUT_MS;
+    uint32_t wait_ms = has_followers(watch) ? WATCH_PROBED_TIMEOUT_MS : WATCH_TIMEOUT_MS;
     watch->watch_position = ts_store_mirror_position(watch->gateway->mirror);
     char *target = watch->gateway->dialect->watch_target(watch->watch_position.revision, wait_ms);
     watch->is_watch_probed = wait_ms > WATCH_TIMEOUT_MS;
@@ -462,14 +462,17 @@
            watch->watch_position.epoch != ts_store_mirror_position(watch->gateway->mirror).epoch;
 }
 
-/* Periodic check by the zone's watcher that the service is reachable while nothing changes. */
+/*
+ * Periodic check by the zone's watcher that the service is reachable while nothing changes. Also
+ * restarts a long watch call that was begun in another epoch than the mirror's.
+ */
 static void send_probe(uv_timer_t *timer)
 {
     ts_store_watch_t *watch = timer->data;
     const ts_gateway_t *gateway = watch->gateway;
     if (is_watch_outdated(watch))
         restart_watch(watch);
-    bool is_needed = watch->is_watch_probed || has_dependents(watch);
+    bool is_needed = watch->is_watch_probed || has_followers(watch);
     if (watch->is_probing || !is_needed || !ts_store_mirror_is_loaded(gateway->mirror)) {
         return;
     }
--- a/src/control/view.c
+++ b/src/control/view.c
@@ -53,7 +53,7 @@
     g_free(view);
 }
 
-static bool can_own(const ts_view_member_t *member)
+static bool is_eligible(const ts_view_member_t *member)
 {
     return member->state == TS_MEMBER_LIVE || member->state == TS_MEMBER_SUSPECT;
 }
@@ -66,7 +66,7 @@
     uint64_t best_weight = 0;
     for (size_t i = 0; i < view->count; i++) {
         const ts_view_member_t *member = &view->members[i];
-        if (!can_own(member) || (zone != NULL && strcmp(member->zone, zone) != 0)) {
+        if (!is_eligible(member) || (zone != NULL && strcmp(member->zone, zone) != 0)) {
             continue;
         }
         uint64_t weight = ts_hash_mix(member->id, key);
