--- a/include/tealspar/admission.h
+++ b/include/tealspar/admission.h
@@ -11,7 +11,7 @@
 typedef struct ts_admission_input {
     uint32_t slots; /**< slots available for use */
     uint32_t slots_in_use;
-    uint32_t kind_in_use; /**< slots held by this kind */
+    uint32_t kind_in_use; /**< slots held by this kind of query */
     uint32_t kind_share_percent;
     uint32_t queue_ahead;  /**< jobs queued at this priority or above */
     uint32_t queue_length; /**< all queued jobs */
--- a/include/tealspar/caller_timeouts.h
+++ b/include/tealspar/caller_timeouts.h
@@ -1,8 +1,8 @@
 /**
  * Typical timeout that callers of a route set, used to recognize retries after a refusal: these
- * have less time left than usual. The typical value is a high quantile of the latest requests
- * rather than the maximum, so that a few callers with a huge timeout don't make all others look
- * like retries.
+ * have less time left than the typical timeout. That is a high quantile of the timeouts of the
+ * latest 32 requests rather than the maximum, so that a few callers with a huge timeout don't make
+ * all others look like retries.
  */
 #ifndef TEALSPAR_CALLER_TIMEOUTS_H
 #define TEALSPAR_CALLER_TIMEOUTS_H
@@ -22,7 +22,7 @@
 void ts_caller_timeouts_add(ts_caller_timeouts_t *timeouts, uint32_t timeout_ms);
 /** The typical timeout; 0: no request has carried one yet. */
 uint32_t ts_caller_timeouts_typical_ms(const ts_caller_timeouts_t *timeouts);
-/** Whether a timeout is shorter than usual, which suggests a retry after a refusal. */
+/** Whether a timeout is shorter than the typical one, which suggests a retry after a refusal. */
 bool ts_caller_timeouts_is_retry(const ts_caller_timeouts_t *timeouts, uint32_t timeout_ms);
 
 #endif
--- a/include/tealspar/cold_share.h
+++ b/include/tealspar/cold_share.h
@@ -1,8 +1,8 @@
 /**
  * Rate limit for requests to an instance that is warming up (cold). It applies to all nodes
  * together in any second, without coordination: the rate is divided by node index as connections
- * are (connection_share.h), and each node enforces its share over a window somewhat longer than a
- * second. Does not read the clock.
+ * are (connection_share.h), and each node enforces its share over a window of 1.25 to 1.5 s. Does
+ * not read the clock.
  */
 #ifndef TEALSPAR_COLD_SHARE_H
 #define TEALSPAR_COLD_SHARE_H
@@ -22,7 +22,7 @@
 typedef struct ts_fleet_index {
     unsigned nodes; /**< highest number of live nodes seen at once */
     unsigned index; /**< index of this node in the order of nodes for the instance */
-    bool is_stable; /**< others likely see the same: this node is not new and misses few */
+    bool is_stable; /**< others likely see the same: this node is not new and misses few nodes */
 } ts_fleet_index_t;
 
 /** Slices of the sliding window. */
--- a/include/tealspar/quantile.h
+++ b/include/tealspar/quantile.h
@@ -10,7 +10,7 @@
 typedef struct ts_quantile {
     double target;   /**< 0.95 for the 95th percentile */
     double value_us; /**< the estimate; 0: none yet */
-    uint32_t count;
+    uint32_t count;  /**< values added so far */
 } ts_quantile_t;
 
 /** `target` is between 0 and 1; `guess_us` is an initial estimate (0: none). */
--- a/include/tealspar/quarantine.h
+++ b/include/tealspar/quarantine.h
@@ -3,8 +3,8 @@
  * that is to refuse. Nodes exchange rows and merge them, so that the tables of all nodes converge.
  * Uses no sockets and does not read the clock. See docs/design/quarantine.md.
  *
- * A lone send is a send made while no other send of the same request is in flight, so that a crash
- * can be attributed to it. A trial is a lone send of a suspected request.
+ * An isolated send is made while no other send of the same request is in flight, so that a crash
+ * can be attributed to that request. A trial is an isolated send of a suspected request.
  */
 #ifndef TEALSPAR_QUARANTINE_H
 #define TEALSPAR_QUARANTINE_H
@@ -19,7 +19,7 @@
 
 typedef enum ts_quarantine_state {
     TS_QUARANTINE_CLEAR,      /**< not suspected */
-    TS_QUARANTINE_SUSPECT,    /**< to be sent by lone sends only */
+    TS_QUARANTINE_SUSPECT,    /**< to be sent by isolated sends only */
     TS_QUARANTINE_TRIAL,      /**< some node has a trial in flight; await its outcome */
     TS_QUARANTINE_QUARANTINED /**< quarantined: to be refused */
 } ts_quarantine_state_t;
@@ -28,12 +28,12 @@
 typedef struct ts_quarantine_row {
     ts_request_digest_t digest;
     uint32_t epoch;   /**< incremented when the request is suspected again after it was cleared */
-    uint32_t strikes; /**< backends that crashed during a lone send */
+    uint32_t strikes; /**< backends that crashed during an isolated send */
     uint32_t trials_begun; /**< by all nodes together, as is `trials_ended` */
     uint32_t trials_ended;
     uint32_t age_ms;     /**< time since `strikes` or `is_cleared` last changed */
     const char *service; /**< of the backend that crashed last during the request; never NULL */
-    bool is_cleared;     /**< completed successfully since */
+    bool is_cleared;     /**< the request has completed successfully since */
 } ts_quarantine_row_t;
 
 /** Called with a changed row that is to be sent to other nodes. */
@@ -55,19 +55,19 @@
 const char *ts_quarantine_service(const ts_quarantine_t *quarantine,
                                   const ts_request_digest_t *digest);
 
-/** All sends of a request were broken off, and a backend of the service has crashed. */
+/** Suspects a request: all its sends were broken off and a backend of the service crashed. */
 void ts_quarantine_suspect(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                            const char *service, ts_time_us_t now_us);
 /**
- * Counts a strike: a backend of the service crashed during a lone send that was sent at `sent_us`.
+ * Counts a strike: a backend of the service crashed during an isolated send at `sent_us`.
  * A send from before the previous strike became known does not count, as both crashes may have the
  * same cause.
  */
 void ts_quarantine_strike(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                           const char *service, ts_time_us_t sent_us, ts_time_us_t now_us);
 /**
- * The request completed successfully at a backend of the service. Ignored if the crash was at a
- * backend of another service.
+ * Clears a request that completed successfully at a backend of the service. Ignored if the last
+ * crash was at a backend of another service.
  */
 void ts_quarantine_clear(ts_quarantine_t *quarantine, const ts_request_digest_t *digest,
                          const char *service, ts_time_us_t now_us);
@@ -80,9 +80,12 @@
 /** Merges a row from another node. Returns whether it changed anything and is to be forwarded. */
 bool ts_quarantine_merge(ts_quarantine_t *quarantine, const ts_quarantine_row_t *row,
                          ts_time_us_t now_us);
-/** Checksum over the quarantined entries; nodes with equal checksums need not synchronize. */
+/** Checksum over the quarantines in effect; nodes with equal checksums need not synchronize. */
 uint64_t ts_quarantine_checksum(const ts_quarantine_t *quarantine, ts_time_us_t now_us);
-/** Visits all quarantined entries, then the latest others, at most `suspects_max` of them. */
+/**
+ * Visits all quarantined entries, also those whose quarantine has ended, and then at most
+ * `suspects_max` others, latest first.
+ */
 void ts_quarantine_foreach(const ts_quarantine_t *quarantine, ts_time_us_t now_us,
                            unsigned suspects_max, ts_quarantine_visit_t visit, void *ctx);
 /** Removes expired entries. */
--- a/include/tealspar/rate_account.h
+++ b/include/tealspar/rate_account.h
@@ -11,7 +11,7 @@
  * no issuer answers. While an issuer answers, the node does not spend its fallback rate; it is lent
  * to the issuer, which may grant those tokens to any node. The fallback rates of all nodes add up
  * to at most the rate. The home withholds the fallback rate of a node that may be spending it,
- * because the node is silent (SILENT_US) or does not lend it to this home, until the holder
+ * because the node is silent for 1 s (SILENT_US) or does not lend it to this home, until the holder
  * expires.
  *
  * Uses no sockets and does not read the clock.
@@ -47,20 +47,24 @@
     ts_time_us_t stable_before_loss_us; /**< `lost_us` minus the previous loss or the start */
 } ts_rate_view_history_t;
 
-/** A claim as received by the home node. That of a deputy sums up the nodes of its zone. */
+/**
+ * A claim as received by the home node. In the claim of a deputy, `spent_alone`, `request_rate`,
+ * `fallback_rate` and `saved` include the nodes of its zone that send claims to it, and
+ * `foreign_rate` may be theirs.
+ */
 typedef struct ts_rate_claim {
-    uint64_t node;        /**< hash of the sender's name */
-    uint64_t address;     /**< hash of the sender's address */
-    uint32_t sequence;    /**< sequence number of the claim */
-    uint32_t spent_alone; /**< total of tokens spent on fallback rates since the sender started */
-    unsigned in_hand;     /**< unspent tokens at the sender */
-    unsigned wanted;      /**< tokens that the sender wants to hold */
-    bool is_local;        /**< the sender is the home node itself, which is never silent */
-    double foreign_rate;  /**< part of `fallback_rate` that another issuer assigned */
+    uint64_t node;           /**< hash of the sender's name */
+    uint64_t address;        /**< hash of the sender's address */
+    uint32_t sequence;       /**< sequence number of the claim */
+    uint32_t spent_alone;    /**< total spent on fallback rates since the sender started */
+    unsigned in_hand;        /**< unspent tokens at the sender */
+    unsigned wanted;         /**< tokens that the sender wants to hold */
+    bool is_local;           /**< the sender is the home node itself, which is never silent */
+    double foreign_rate;     /**< part of `fallback_rate` that one other issuer assigned */
     uint64_t foreign_issuer; /**< that issuer, see ts_rate_issuer_id() */
     double request_rate;     /**< requests per second, including refused ones, smoothed */
     double fallback_rate;    /**< tokens per second that may be spent without an issuer */
-    bool is_alone;  /**< `fallback_rate` is spent, or lent to another issuer than this home */
+    bool is_alone;  /**< `fallback_rate` is spent, or lent to an issuer other than this home */
     bool has_moved; /**< `fallback_rate` was lent to another issuer since this home last answered */
     double saved;   /**< tokens accumulated from `fallback_rate` and handed over with this claim */
 } ts_rate_claim_t;
@@ -69,10 +73,10 @@
 typedef struct ts_rate_grant {
     unsigned tokens;
     ts_time_us_t valid_us; /**< validity of the tokens, from when the claim was sent */
-    double fallback_rate;  /**< fallback rate in tokens per second */
+    double fallback_rate;  /**< tokens per second; of a deputy: with its zone */
     bool has_left;         /**< confirms that the receiver has left; the other fields are unset */
     bool is_sublet;        /**< granted by a deputy out of tokens that the home granted to it */
-    bool is_home_unreachable; /**< deputy without a home: use the fallback rate */
+    bool is_home_unreachable; /**< deputy without tokens, its home silent: use the fallback rate */
     ts_time_us_t wait_us;     /**< if no tokens were left: time until the receiver's turn; else 0 */
 } ts_rate_grant_t;
 
@@ -85,7 +89,7 @@
 typedef struct ts_rate_account {
     double tokens;              /**< balance; negative: debt */
     ts_time_us_t at_us;         /**< time of `tokens` */
-    ts_time_us_t ramp_start_us; /**< when the view last lost a node; 0: no ramp (RAMP_US) */
+    ts_time_us_t ramp_start_us; /**< last loss of a node before the opening; 0: no ramp (RAMP_US) */
     GArray *holders; /**< of holder_t: nodes whose latest claim is at most HOLDER_TIMEOUT_US old */
 } ts_rate_account_t;
 
@@ -103,8 +107,9 @@
 /** Whether a claim duplicates the node's latest one; duplicates are not answered. */
 bool ts_rate_account_is_duplicate(const ts_rate_account_t *account, const ts_rate_claim_t *claim);
 /**
- * Removes a node that lends its fallback rate to another issuer from now on, and debits what it
- * spent on its own since its last claim. `spent_alone` as in a claim.
+ * Removes a node that lends its fallback rate to another issuer from now on. Debits what the node
+ * spent on its own since its last claim, less what was already debited as assumed spending.
+ * `spent_alone` as in a claim. Does nothing if the node is no holder.
  */
 void ts_rate_account_remove_holder(ts_rate_account_t *account, uint64_t node, uint32_t spent_alone);
 /** Identifies an issuer: the node with this address (hash), as home or as deputy (`is_sublet`). */
--- a/include/tealspar/rate_lease.h
+++ b/include/tealspar/rate_lease.h
@@ -26,8 +26,8 @@
 typedef struct ts_rate_lease {
     unsigned tokens;                  /**< granted and unspent */
     ts_time_us_t valid_until_us;      /**< expiry of `tokens` */
-    double demand;                    /**< tokens wanted per second, short average */
-    double request_rate;              /**< requests per second of this node, longer average */
+    double demand;                    /**< tokens wanted per second, time constant 1 s */
+    double request_rate;              /**< requests per second of this node, time constant 5 s */
     ts_time_us_t demand_us;           /**< time of `demand` */
     ts_time_us_t request_rate_us;     /**< time of `request_rate` */
     ts_time_us_t used_us;             /**< when a token was last wanted */
@@ -38,7 +38,7 @@
     ts_time_us_t unanswered_since_us; /**< first claim that the issuer has not answered; 0: none */
     ts_time_us_t exceeded_until_us;   /**< the issuer has no tokens for this node until then */
     ts_time_us_t claim_after_us;      /**< no claim before that, unless a request waits */
-    double fallback_rate;             /**< fallback rate in tokens per second */
+    double fallback_rate;             /**< tokens per second; of a deputy: with its zone */
     double reported_fallback_rate;    /**< `fallback_rate` as reported in the latest claim */
     double sublet_rate; /**< part of `fallback_rate` assigned to other nodes of the zone */
     ts_time_us_t fallback_until_us; /**< expiry of `fallback_rate` */
@@ -47,16 +47,16 @@
     uint64_t lent_issuer;     /**< issuer that `fallback_rate` is lent to; 0: none */
     ts_time_us_t lent_us;     /**< when the last claim was sent to that issuer */
     bool is_fallback_lent;    /**< the latest claim lends `fallback_rate` to the issuer */
-    bool has_moved;           /**< lent to another issuer since the present one last answered */
-    bool was_alone;           /**< `is_fallback_lent` was false in the previous claim */
+    bool has_moved; /**< `fallback_rate` was lent to another issuer since `issuer` last answered */
+    bool was_alone; /**< `is_fallback_lent` was false in the previous claim */
     ts_rate_saved_state_t saved_state; /**< of `fallback_tokens` */
     uint32_t spent_alone;   /**< total spent on fallback rates; of a deputy: with its zone */
     double fallback_tokens; /**< tokens accumulated from `fallback_rate` */
     ts_time_us_t fallback_tokens_us; /**< time of `fallback_tokens` */
     bool is_deputy;                  /**< this node also serves other nodes of its zone */
     bool is_request_waiting;         /**< a request waits for a token */
-    ts_time_us_t refused_us;         /**< when a request was last refused */
-    bool was_exceeded;               /**< the log says that the limit is reached */
+    ts_time_us_t refused_us;         /**< when a request was last refused with TS_RATE_EXCEEDED */
+    bool was_exceeded;               /**< the limit was last logged as reached */
 } ts_rate_lease_t;
 
 /** `fallback_tokens`: tokens that the node may spend before an issuer has answered. */
--- a/include/tealspar/replica.h
+++ b/include/tealspar/replica.h
@@ -37,10 +37,10 @@
 bool ts_replica_is_any_free(const ts_service_t *service, const ts_replica_input_t *input);
 /** Why instances cannot take a request now. Each instance counts for its first reason only. */
 typedef struct ts_replica_summary {
-    unsigned listed;    /**< instances of the service */
+    unsigned listed;    /**< instances of the service, also delisted ones */
     unsigned misplaced; /**< its region is not allowed for the request */
     unsigned evacuated; /**< its zone is being evacuated */
-    unsigned leaving;   /**< draining or delisted for too long */
+    unsigned leaving;   /**< draining or delisted for more than `drain_us` */
     unsigned full;      /**< at this node's limit */
     unsigned avoided;   /**< to be avoided for now, after a failure or refusal */
     unsigned in_flight; /**< requests of this node at all instances */
@@ -57,7 +57,8 @@
 double ts_replica_cost(const ts_instance_t *instance, const ts_replica_input_t *input);
 /**
  * Selects the instance with the lowest cost that is usable, not full and not among `tried`; NULL if
- * there is none. A suspected instance gets a single probe request from time to time.
+ * there is none. The cost of a suspected instance includes a penalty, except for at most one
+ * probe request per second.
  */
 ts_instance_t *ts_replica_choose(const ts_service_t *service, const ts_replica_input_t *input,
                                  ts_instance_t *const *tried, unsigned tried_count);
--- a/include/tealspar/reported_load.h
+++ b/include/tealspar/reported_load.h
@@ -10,7 +10,7 @@
 typedef struct ts_reported_load {
     uint32_t running;         /**< requests in progress */
     uint32_t waiting;         /**< requests queued */
-    uint32_t slots;           /**< requests that it processes concurrently */
+    uint32_t slots;           /**< requests that the backend can process concurrently */
     ts_time_us_t reported_us; /**< time of the report; 0: none yet */
 } ts_reported_load_t;
 
--- a/include/tealspar/retry_budget.h
+++ b/include/tealspar/retry_budget.h
@@ -44,7 +44,7 @@
 /** Grants up to `retries_max` retries to another node and charges them here; returns the number. */
 uint32_t ts_retry_budget_lend(ts_retry_budget_t *budget, const ts_retry_budget_rule_t *rule,
                               uint32_t retries_max, ts_time_us_t now_us);
-/** Adds `count` retries granted by another node; they expire shortly. */
+/** Adds `count` retries granted by another node; all borrowed ones expire 300 ms later. */
 void ts_retry_budget_borrow(ts_retry_budget_t *budget, uint32_t count, ts_time_us_t now_us);
 /** Returns a retry that was taken but not sent. */
 void ts_retry_budget_refund(ts_retry_budget_t *budget);
--- a/include/tealspar/route_state.h
+++ b/include/tealspar/route_state.h
@@ -27,8 +27,8 @@
 const char *ts_route_outcome_name(ts_outcome_t outcome);
 
 typedef struct ts_route_state {
-    ts_quantile_t median;  /**< median response time of a backend, as if in the nearest zone */
-    ts_quantile_t overdue; /**< response time quantile after which a request is overdue */
+    ts_quantile_t median;  /**< median response time, as if the backend were in the nearest zone */
+    ts_quantile_t overdue; /**< 0.9 quantile of the same; bounds ts_route_state_overdue_us() */
     ts_caller_timeouts_t caller_timeouts;
     ts_histogram_t *latencies[TS_OUTCOME_COUNT]; /**< by outcome; NULL until first used */
     GHashTable *credits;    /**< service -> double *, credit in the weighted round robin */
@@ -44,7 +44,10 @@
 void ts_route_state_free(ts_route_state_t *state);
 /** Adds the response time of a backend, reduced to that of one in the nearest zone. */
 void ts_route_state_add_response_time(ts_route_state_t *state, double response_time_us);
-/** Time after which a request to a backend in the nearest zone is overdue. */
+/**
+ * Time after which a request to a backend in the nearest zone is overdue: the quantile `overdue`,
+ * but at most 2.5 times the median.
+ */
 double ts_route_state_overdue_us(const ts_route_state_t *state);
 /** Adds an overdue request, whose response time is still unknown. */
 void ts_route_state_add_overdue(ts_route_state_t *state);
--- a/include/tealspar/rtt.h
+++ b/include/tealspar/rtt.h
@@ -1,6 +1,6 @@
 /**
- * Estimate of the network round-trip time to a zone, from connection set-up times. There is one for
- * each zone that has backends.
+ * Estimate of the network round-trip time to a zone, from connection set-up times. A node keeps one
+ * estimate for each zone that has backends.
  */
 #ifndef TEALSPAR_RTT_H
 #define TEALSPAR_RTT_H
--- a/src/route/connection_share.c
+++ b/src/route/connection_share.c
@@ -9,9 +9,9 @@
 
 uint32_t ts_connections_in_use_max(uint32_t connections_max, unsigned nodes)
 {
-    uint32_t least = connections_max >= nodes ? 2 : 1;
+    uint32_t share_min = connections_max >= nodes ? 2 : 1;
     uint32_t share = usable_connections(connections_max) / nodes;
-    return share > least ? share : least;
+    return share > share_min ? share : share_min;
 }
 
 uint32_t ts_connection_share(uint32_t connections_max, unsigned nodes, unsigned index)
--- a/src/route/evidence.c
+++ b/src/route/evidence.c
@@ -11,10 +11,10 @@
 /* Prior: successful responses, and slots with the expected response time, added to those seen. */
 #define PRIOR_ANSWERS 3.0
 #define PRIOR_SLOTS 3.0
-/* Time ratios are clamped to this range; more extreme ones carry no further information. */
+/* Latency ratios are clamped to this range; more extreme ones carry no further information. */
 #define RATIO_MIN 0.25
 #define RATIO_MAX 16.0
-/* Responses with a higher time ratio count as slow; for a healthy instance these are 1 in 200. */
+/* Responses with a higher latency ratio count as slow: 1 in 200 of a healthy instance. */
 #define SLOW_RATIO 2.5
 /* Thresholds above which an instance counts as anomalous. */
 #define ANOMALOUS_FAILURE_RATE 0.08
--- a/src/route/quarantine.c
+++ b/src/route/quarantine.c
@@ -22,8 +22,8 @@
 #define CLEARED_EXPIRY_US (30 * TS_US_PER_S)
 /* A trial without outcome counts as ended after this time: its node is gone or stalled. */
 #define TRIAL_TIMEOUT_US (2 * TS_US_PER_S)
-/* Limits of entries that are not quarantined, and of quarantined ones; a full table takes 759 kB
- * (bench_quarantine). */
+/* Limits of entries with `is_quarantined` unset, and of those with it set; a full table takes 759
+ * kB (bench_quarantine). */
 #define SUSPECTS_MAX 1024U
 #define QUARANTINED_MAX 1024U
 #define SERVICE_NAME_MAX 256U
--- a/src/route/rate_account.c
+++ b/src/route/rate_account.c
@@ -43,8 +43,8 @@
  * when they can have no valid tokens left. */
 #define VALID_US (10 * TS_US_PER_S)
 #define HOLDER_TIMEOUT_US (12 * TS_US_PER_S)
-/* Limit of a negative balance, in seconds of the rate. Spending on fallback rates is withheld while
- * it happens, so a debt only covers what was noticed late. */
+/* Limit of a negative balance, in seconds of the rate. The rates that nodes may be spending on
+ * their own are withheld, so a debt only covers spending that the home noticed late. */
 #define DEBT_MAX_S 2.0
 /* How long a holder's request rate counts; its callers may have moved to another node by then. */
 #define REQUEST_RATE_VALID_US (3 * TS_US_PER_S)
@@ -59,16 +59,15 @@
     uint32_t sequence;    /* sequence number of its latest claim */
     uint32_t spent_alone; /* total spent on its own, as of that claim */
     unsigned in_hand;
-    bool is_local;        /* this is the home node itself */
-    bool is_alone;        /* `fallback_rate` is not lent to this home, by its latest claim */
-    double fallback_rate; /* tokens per second */
-    double request_rate;  /* requests per second */
-    double
-        foreign_rate; /* part of `fallback_rate` that another issuer assigned and does not spend */
+    bool is_local;           /* this is the home node itself */
+    bool is_alone;           /* `fallback_rate` is not lent to this home, by its latest claim */
+    double fallback_rate;    /* tokens per second */
+    double request_rate;     /* requests per second */
+    double foreign_rate;     /* part of `fallback_rate` by another issuer; 0 if `is_alone` */
     uint64_t foreign_issuer; /* that issuer */
     ts_rate_allowance_t allowance;
     double assumed_spent;          /* tokens debited since its latest claim, as assumed spending */
-    ts_time_us_t heard_us;         /* when its latest claim arrived */
+    ts_time_us_t received_us;      /* when its latest claim arrived */
     ts_time_us_t assumed_spent_us; /* time of `assumed_spent` */
     ts_time_us_t empty_us;         /* when its claim got no tokens; 0: not queued */
 } holder_t;
@@ -125,7 +124,7 @@
 
 /*
  * Length of a time span weighted by the ramp of a new home: the integral of a factor that rises
- * linearly from `first` to 1 within RAMP_US after this node became home.
+ * linearly from `first` to 1 within RAMP_US from the account's `ramp_start_us`.
  */
 static double ramped_s(const ts_rate_account_t *account, double first, ts_time_us_t from_us,
                        ts_time_us_t to_us)
@@ -168,13 +167,13 @@
 {
     for (guint i = account->holders->len; i > 0; i--) {
         const holder_t *holder = &g_array_index(account->holders, holder_t, i - 1);
-        if (now_us - holder->heard_us > HOLDER_TIMEOUT_US)
+        if (now_us - holder->received_us > HOLDER_TIMEOUT_US)
             g_array_remove_index_fast(account->holders, i - 1);
     }
 }
 
-/* Earlier spending of a new holder is not charged: it happened while there was no home, and is
- * covered by the tokens that accrued meanwhile. */
+/* Finds or adds the holder of a claim. Earlier spending of a new holder is not debited: it happened
+ * while there was no home, and is covered by the tokens that accrued meanwhile. */
 static holder_t *ensure_holder(ts_rate_account_t *account, const ts_rate_claim_t *claim)
 {
     for (guint i = 0; i < account->holders->len; i++) {
@@ -211,7 +210,7 @@
 /* Whether a holder may be spending its fallback rate. */
 static bool may_spend_alone(const holder_t *holder, ts_time_us_t now_us)
 {
-    return holder->is_alone || (!holder->is_local && now_us - holder->heard_us > SILENT_US);
+    return holder->is_alone || (!holder->is_local && now_us - holder->received_us > SILENT_US);
 }
 
 /* Sum of the fallback rates lent to this home; their holders don't spend them. */
@@ -244,9 +243,10 @@
 }
 
 /*
- * Returns the rate to withhold for holders that may be spending on their own: `share` of it, the
- * rest may be spent twice. Debits what was granted of it since a holder's last claim, up to `at_us`
- * of the account.
+ * Returns the rate to withhold for holders that may be spending on their own: `share` of their
+ * fallback rates, as the remainder may be spent twice. Also debits what the balance already
+ * includes of that rate: what accrued from a holder's last claim or assumed spending to `at_us` of
+ * the account.
  */
 static double withhold_rates_alone(ts_rate_account_t *account, double share, ts_time_us_t now_us)
 {
@@ -256,7 +256,7 @@
         if (!may_spend_alone(holder, now_us))
             continue;
         double fallback_rate = share * rate_alone(account, holder, now_us);
-        ts_time_us_t since_us = MAX(holder->heard_us, holder->assumed_spent_us);
+        ts_time_us_t since_us = MAX(holder->received_us, holder->assumed_spent_us);
         if (since_us < account->at_us)
             account->tokens -= fallback_rate * (double)(account->at_us - since_us) / TS_US_PER_S;
         holder->assumed_spent += fallback_rate * (double)(now_us - since_us) / TS_US_PER_S;
@@ -278,10 +278,10 @@
     double room = available_capacity(account, params);
     double span_s = (double)(now_us - account->at_us) / TS_US_PER_S;
     double lent = MIN(lent_rate(account, now_us), params->rate);
-    double doubled = double_spend_share(params);
-    double withheld = withhold_rates_alone(account, 1 - doubled, now_us);
+    double double_share = double_spend_share(params);
+    double withheld = withhold_rates_alone(account, 1 - double_share, now_us);
     double rest = MAX(params->rate - lent - withheld, 0);
-    double ramped_span_s = ramped_s(account, doubled, account->at_us, now_us);
+    double ramped_span_s = ramped_s(account, double_share, account->at_us, now_us);
     account->tokens += lent * span_s + rest * ramped_span_s;
     account->tokens = CLAMP(account->tokens, -DEBT_MAX_S * params->rate, room);
     account->at_us = now_us;
@@ -322,7 +322,7 @@
     for (guint i = 0; i < account->holders->len; i++) {
         const holder_t *other = &g_array_index(account->holders, holder_t, i);
         others += other == holder ? 0 : other->fallback_rate;
-        bool is_recent = account->at_us - other->heard_us < REQUEST_RATE_VALID_US;
+        bool is_recent = account->at_us - other->received_us < REQUEST_RATE_VALID_US;
         total_rate += other != holder && is_recent ? other->request_rate : 0;
     }
     double left = params->rate - others;
@@ -408,7 +408,7 @@
     holder->foreign_rate = claim->is_alone ? 0 : claim->foreign_rate;
     holder->foreign_issuer = claim->foreign_issuer;
     holder->is_alone = claim->is_alone;
-    holder->heard_us = now_us;
+    holder->received_us = now_us;
     add_saved(account, params, claim->saved);
 }
 
--- a/src/route/rate_lease.c
+++ b/src/route/rate_lease.c
@@ -8,8 +8,8 @@
  * spent would shrink with each refusal. */
 #define DEMAND_SPAN_S 1.0
 #define REQUEST_RATE_SPAN_S 5.0
-/* Demand that the tokens held should cover. A deputy holds more, and one extra token, as the home
- * may be distant; other nodes have a nearby deputy. */
+/* Seconds of demand that the tokens held should cover. A deputy holds more, and one extra token, as
+ * the home may be distant; other nodes have a nearby deputy. */
 #define DEPUTY_COVER_S 0.3
 #define COVER_S 0.1
 /* An unanswered claim is repeated after this time. */
@@ -329,7 +329,7 @@
     lease->tokens = ts_rate_lease_valid_tokens(lease, now_us) + grant->tokens;
     lease->valid_until_us = lease->claim_pending_us + grant->valid_us;
     lease->has_moved &= !lease->is_fallback_lent;
-    if (lease->is_fallback_lent) { // else the previous one stays valid until it expires
+    if (lease->is_fallback_lent) { // else the previous rate stays valid until it expires
         update_fallback_rate(lease, grant, now_us);
         lease->fallback_tokens =
             MAX(lease->fallback_tokens, ts_rate_initial_saved(params, lease->fallback_rate));
--- a/src/route/rate_limiter.c
+++ b/src/route/rate_limiter.c
@@ -17,13 +17,14 @@
 /* Validity of tokens granted by a deputy, shorter than that of the deputy's own tokens. */
 #define DEPUTY_VALID_US (1 * TS_US_PER_S)
 
-/* A node with a fallback rate from this deputy that is silent for this long is assumed to spend it,
- * until it expires; as at the home (rate_account.c). */
+/* A zone node that is silent for SILENT_US is assumed to spend the fallback rate that this deputy
+ * assigned to it, until that rate expires after FALLBACK_TIMEOUT_US; as at the home
+ * (rate_account.c). */
 #define SILENT_US (1 * TS_US_PER_S)
 #define FALLBACK_TIMEOUT_US (12 * TS_US_PER_S)
 /* Share of the tolerance that all nodes together may spend before an issuer has answered. For a
- * node that has just started it is a share of all tokens per window: all nodes may be starting at
- * once, while no node grants any. */
+ * node that started less than STARTING_US ago, FIRST_STARTING_SHARE of all tokens per window
+ * applies if that is more: all nodes may be starting at once, while no node grants any. */
 #define FIRST_SHARE 0.25
 #define FIRST_STARTING_SHARE 0.5
 #define STARTING_US (2 * TS_US_PER_S)
@@ -35,12 +36,12 @@
     uint32_t spent_alone;    /* total spent on its own, by its latest claim */
     double request_rate;     /* requests per second, by its latest claim */
     double fallback_rate;    /* its fallback rate, as far as assigned by this deputy */
-    double foreign_rate;     /* its fallback rate, as far as assigned by another issuer */
-    uint64_t foreign_issuer; /* that issuer */
+    double foreign_rate;     /* the rest of its fallback rate, assigned by others */
+    uint64_t foreign_issuer; /* issuer of `foreign_rate`, or of a part of it */
     ts_rate_allowance_t allowance;
-    double assumed_spent;  /* tokens assumed spent since its latest claim, reported to the home */
-    bool is_alone;         /* its fallback rate is not lent to this deputy, by its latest claim */
-    ts_time_us_t heard_us; /* when its latest claim arrived */
+    double assumed_spent; /* tokens assumed spent since its latest claim, reported to the home */
+    bool is_alone;        /* its fallback rate is not lent to this deputy, by its latest claim */
+    ts_time_us_t received_us; /* when its latest claim arrived */
 } zone_node_t;
 
 /* A claim that a deputy cannot answer yet. */
@@ -57,8 +58,8 @@
     char *account;
     GArray *queue;          /* of queued_claim_t; NULL: none so far */
     GHashTable *zone_nodes; /* node -> zone_node_t, owned; NULL: none so far */
-    char *lent_address;     /* issuer that the fallback rate is lent to; NULL: none, or this node */
-    double owed; /* spent by zone nodes but not yet reported; negative: reported too much */
+    char *lent_address;     /* of the issuer with the fallback rate; NULL: none, or this node */
+    double owed; /* tokens spent by zone nodes, not yet reported; negative: too many reported */
 } held_lease_t;
 
 struct ts_rate_limiter {
@@ -238,12 +239,14 @@
     held->owed -= whole;
 }
 
-/* Assumes that a silent zone node spends its fallback rate. */
+/* Assumes that a zone node spends its fallback rate if it is silent or does not lend that rate to
+ * this deputy. */
 static void assume_spending(held_lease_t *held, zone_node_t *zone_node, ts_time_us_t now_us)
 {
-    if (!zone_node->is_alone && now_us - zone_node->heard_us < SILENT_US)
+    if (!zone_node->is_alone && now_us - zone_node->received_us < SILENT_US)
         return;
-    double spent = zone_node->fallback_rate * (double)(now_us - zone_node->heard_us) / TS_US_PER_S;
+    double spent =
+        zone_node->fallback_rate * (double)(now_us - zone_node->received_us) / TS_US_PER_S;
     if (spent <= zone_node->assumed_spent)
         return; // the fallback rate has expired
     add_owed(held, spent - zone_node->assumed_spent);
@@ -257,7 +260,7 @@
     uint64_t lent_from;  /* that issuer */
 } zone_sums_t;
 
-/* Sums up the nodes of the zone, and assumes spending of silent ones. */
+/* Sums up the nodes of the zone, and updates `sublet_rate` and the assumed spending. */
 static zone_sums_t sum_zone(held_lease_t *held, ts_time_us_t now_us)
 {
     GHashTableIter iterator;
@@ -271,12 +274,12 @@
         zone_node_t *zone_node = value;
         assume_spending(held, zone_node, now_us);
         // The entry stays, as `spent_alone` is a running total.
-        if (now_us - zone_node->heard_us > FALLBACK_TIMEOUT_US)
+        if (now_us - zone_node->received_us > FALLBACK_TIMEOUT_US)
             zone_node->fallback_rate = 0;
         held->lease.sublet_rate += zone_node->fallback_rate;
-        bool is_recent = now_us - zone_node->heard_us < REQUEST_RATE_VALID_US;
+        bool is_recent = now_us - zone_node->received_us < REQUEST_RATE_VALID_US;
         sums.request_rate += is_recent ? zone_node->request_rate : 0;
-        bool is_lent = !zone_node->is_alone && now_us - zone_node->heard_us < SILENT_US;
+        bool is_lent = !zone_node->is_alone && now_us - zone_node->received_us < SILENT_US;
         if (!is_lent || zone_node->foreign_rate <= 0)
             continue;
         sums.lent += zone_node->foreign_rate;
@@ -290,7 +293,7 @@
 
 /*
  * Notifies the previous issuer that this node now uses another one. Otherwise it would treat this
- * node as cut off, and withhold or debit its fallback rate until that expires.
+ * node as cut off, and withhold or debit its fallback rate until the rate expires.
  */
 static void leave_issuer(ts_rate_limiter_t *limiter, const held_lease_t *held)
 {
@@ -359,7 +362,7 @@
     }
 }
 
-/* Sends a due claim: at once if a request waits for it, else on the next tick. */
+/* Sends a due claim: at once if a request waits for a token, else in a tick requested now. */
 static void claim_if_due(ts_rate_limiter_t *limiter, held_lease_t *held,
                          const ts_rate_params_t *params, ts_time_us_t now_us)
 {
@@ -426,8 +429,8 @@
 // -- Deputy: claims of the other nodes of the zone
 
 /*
- * Assigns the fallback rate of a node of the zone: its part of this node's, in proportion to its
- * request rate.
+ * Assigns the fallback rate of a zone node: a part of this deputy's fallback rate, in proportion to
+ * the zone node's request rate.
  */
 static double assign_fallback_rate(held_lease_t *held, uint64_t node, ts_time_us_t now_us)
 {
@@ -531,7 +534,7 @@
     zone_node->foreign_rate = message->fallback_rate - zone_node->fallback_rate;
     zone_node->foreign_issuer = message->foreign_issuer;
     zone_node->is_alone = message->is_alone;
-    zone_node->heard_us = now_us;
+    zone_node->received_us = now_us;
 }
 
 /*
@@ -558,9 +561,9 @@
 }
 
 /*
- * Removes a zone node that now sends its claims to this node as the home, or leaves it. The
- * fallback rate that this deputy assigned to it is no longer part of this node's. If it stayed in
- * `zone_nodes`, it would look silent and be assumed to spend that rate.
+ * Removes a zone node that now sends its claims to this node as the home, or has left this deputy.
+ * Deducts the fallback rate that was assigned to the zone node from that of the lease. If the node
+ * stayed in `zone_nodes`, it would look silent and be assumed to spend that rate.
  */
 static void release_zone_node(const ts_rate_limiter_t *limiter, const char *account, uint64_t node)
 {
--- a/src/route/replica.c
+++ b/src/route/replica.c
@@ -97,7 +97,8 @@
     bool is_warmup_limited = ts_instance_is_warmup_limited(instance, input->now_us);
     if (is_warmup_limited && !ts_cold_window_has_room(&instance->cold, input->now_us))
         return true;
-    /* The limits of all nodes together always allow filling the slots and a queue as long. */
+    /* The limits of all nodes together always allow filling the slots and a queue of the same
+     * length. */
     double slots_share = MIN_REQUESTS_PER_SLOT * instance->slots / (double)input->nodes;
     double limit_min = MAX(ceil(slots_share), 1);
     double limit =
--- a/src/route/slowness.c
+++ b/src/route/slowness.c
@@ -5,20 +5,20 @@
 ts_evidence_sums_t ts_instance_evidence(const ts_instance_t *instance, ts_time_us_t now_us)
 {
     ts_evidence_sums_t own = ts_evidence_sums(&instance->own_evidence, now_us);
-    ts_evidence_sums_t heard = ts_evidence_sums(&instance->fleet_evidence, now_us);
-    return ts_evidence_merge(&own, &heard);
+    ts_evidence_sums_t fleet = ts_evidence_sums(&instance->fleet_evidence, now_us);
+    return ts_evidence_merge(&own, &fleet);
 }
 
 double ts_instance_latency_ratio(const ts_instance_t *instance, ts_time_us_t now_us)
 {
-    ts_evidence_sums_t known = ts_instance_evidence(instance, now_us);
-    return ts_mechanism_is_on(TS_MECHANISM_LATE_SIGN) ? ts_evidence_latency_ratio(&known) : 1;
+    ts_evidence_sums_t merged = ts_instance_evidence(instance, now_us);
+    return ts_mechanism_is_on(TS_MECHANISM_LATE_SIGN) ? ts_evidence_latency_ratio(&merged) : 1;
 }
 
 double ts_instance_failure_rate(const ts_instance_t *instance, ts_time_us_t now_us)
 {
-    ts_evidence_sums_t known = ts_instance_evidence(instance, now_us);
-    return ts_mechanism_is_on(TS_MECHANISM_FAILING) ? ts_evidence_failure_rate(&known) : 0;
+    ts_evidence_sums_t merged = ts_instance_evidence(instance, now_us);
+    return ts_mechanism_is_on(TS_MECHANISM_FAILING) ? ts_evidence_failure_rate(&merged) : 0;
 }
 
 bool ts_instance_is_warmup_limited(const ts_instance_t *instance, ts_time_us_t now_us)
