--- a/src/proto/peer.pb-c.h
+++ b/src/proto/peer.pb-c.h
@@ -35,21 +35,21 @@
 /* --- messages --- */
 
 /*
- * What the sender knows of the configuration service.
+ * The sender's position in the history of the configuration service.
  */
 struct  TsPeer__Beacon
 {
   ProtobufCMessage base;
   /*
-   * all changes up to here are applied
+   * all changes up to this revision are applied
    */
   uint64_t revision;
   /*
-   * since the service confirmed that
+   * time since the service confirmed the revision as the latest
    */
   uint32_t age_ms;
   /*
-   * of the revision; 0: the sender knows none
+   * of the revision; 0: not known
    */
   uint64_t epoch;
 };
@@ -59,17 +59,17 @@
 
 
 /*
- * The receiver is to send what changed after a revision.
+ * Requests the changes after a revision.
  */
 struct  TsPeer__Pull
 {
   ProtobufCMessage base;
   /*
-   * zero: everything
+   * 0: all entries
    */
   uint64_t after;
   /*
-   * of that revision
+   * of the revision
    */
   uint64_t epoch;
 };
@@ -79,13 +79,16 @@
 
 
 /*
- * An entry of the configuration service as it was written.
+ * An entry of the configuration service, or its deletion.
  */
 struct  TsPeer__Entry
 {
   ProtobufCMessage base;
   char *key;
   uint64_t revision;
+  /*
+   * deleted
+   */
   protobuf_c_boolean gone;
   ProtobufCBinaryData value;
   /*
@@ -99,18 +102,21 @@
 
 
 /*
- * What changed.
+ * Reply to Pull.
  */
 struct  TsPeer__Changes
 {
   ProtobufCMessage base;
   /*
-   * of the sender
+   * the sender's position
    */
   uint64_t revision;
+  /*
+   * time since the service confirmed that position
+   */
   uint32_t age_ms;
   /*
-   * all entries there are; others have gone
+   * a complete list: entries that it does not contain were deleted
    */
   protobuf_c_boolean is_whole;
   size_t n_entries;
@@ -120,7 +126,7 @@
    */
   uint64_t epoch;
   /*
-   * lowest revision at which that epoch was read
+   * lowest revision at which the epoch was first listed
    */
   uint64_t epoch_base;
 };
@@ -130,7 +136,7 @@
 
 
 /*
- * What the sender has just seen of a back end: something is overdue, or it has answered again.
+ * Health observation of a backend: an answer is overdue, or it has answered again.
  */
 struct  TsPeer__Sighting
 {
@@ -138,11 +144,11 @@
   char *instance;
   protobuf_c_boolean suspected;
   /*
-   * the receiver is to tell its own zone
+   * asks the receiver to forward it to the nodes of its zone
    */
   protobuf_c_boolean relay;
   /*
-   * with the instance's id names one of its lives; 0: not told
+   * start time of this incarnation of the instance; 0: not reported
    */
   uint64_t born_ms;
 };
@@ -152,14 +158,14 @@
 
 
 /*
- * Extra sends to a service: asked for, or given from what the sender might have sent itself.
+ * Retry budget of a service: a request to borrow some, or a loan from the sender's own budget.
  */
 struct  TsPeer__Loan
 {
   ProtobufCMessage base;
   char *service;
   /*
-   * zero: the sender asks
+   * number of hedges or retries lent; 0: a request
    */
   uint32_t granted;
 };
@@ -169,7 +175,7 @@
 
 
 /*
- * What answers of a back end say: counts since the last time, or faded sums as they stand.
+ * Health statistics of a backend: counts since the last message, or exponentially decayed sums.
  */
 struct  TsPeer__EvidenceRow
 {
@@ -178,15 +184,15 @@
   float answers;
   float failures;
   /*
-   * counts: timed answers; sums: slots of time that had some
+   * counts: timed answers; sums: time slots with timed answers
    */
   float timed;
   /*
-   * sum over these of ln(time / usual time)
+   * sum over `timed` of ln(time / expected time)
    */
   float log_ratio;
   /*
-   * as in Sighting
+   * start time of this incarnation; 0: not reported
    */
   uint64_t born_ms;
 };
@@ -199,11 +205,11 @@
 {
   ProtobufCMessage base;
   /*
-   * of the sender, rising, from anywhere
+   * per sender, increasing, with an arbitrary first value
    */
   uint32_t sequence;
   /*
-   * from the node that collects; else counts on their way to it
+   * sums from the collector; else counts that are sent to it
    */
   protobuf_c_boolean is_sums;
   size_t n_rows;
@@ -215,86 +221,86 @@
 
 
 /*
- * Tokens of a rate that the fleet keeps together: asked for at the rate's home, or dealt by it.
+ * Fleet-wide rate limits: a claim to an issuer of tokens, or its grant; see ts_rate_message_t.
  */
 struct  TsPeer__Rate
 {
   ProtobufCMessage base;
   char *account;
   /*
-   * number of the ask at its sender; the answer repeats it
+   * sequence number of the claim at its sender, repeated in the grant
    */
   uint32_t ask;
   /*
-   * the home answers
+   * true: a grant; false: a claim or a leave notice
    */
   protobuf_c_boolean is_deal;
   /*
-   * ask: tokens that the sender has
+   * claim: unspent tokens at the sender
    */
   uint32_t in_hand;
   /*
-   * ask: tokens that it wants to have
+   * claim: tokens that the sender wants to hold
    */
   uint32_t wanted;
   /*
-   * ask: tokens that the sender has spent by itself since it began
+   * claim: total spent on fallback rates since the sender started
    */
   uint32_t spent_alone;
   /*
-   * deal: tokens that the receiver may spend
+   * grant: tokens that the receiver may spend
    */
   uint32_t tokens;
   /*
-   * deal: they are void so long after they were asked for
+   * grant: validity of the tokens, from when the claim was sent
    */
   uint32_t valid_ms;
   /*
-   * deal: the sender knows no home now, the receiver is to go on by itself
+   * grant: the deputy reaches no home; the receiver uses its fallback rate
    */
   protobuf_c_boolean is_lost;
   /*
-   * deal of none: when the next one is the receiver's turn
+   * grant without tokens: time until the receiver's turn
    */
   uint32_t wait_ms;
   /*
-   * ask: thousandths of a token a second that the sender uses
+   * claim: the sender's request rate in 1/1000 requests/s
    */
   uint32_t used_milli;
   /*
-   * ask: the sender goes by its right itself, or has lent it to another
+   * claim: the fallback rate is not lent to the receiver
    */
   protobuf_c_boolean is_alone;
   /*
-   * ask: it has lent it to another one since the receiver last answered
+   * claim: the rate was lent to another issuer since the last reply
    */
   protobuf_c_boolean has_moved;
   /*
-   * ask: part of the right that another dealer gave
+   * claim: part of the fallback rate assigned by another issuer
    */
   uint32_t foreign_milli;
   /*
-   * ask: that dealer: hash of its address, and in which role
+   * claim: that issuer, see ts_rate_issuer_id()
    */
   uint64_t foreign_from;
   /*
-   * no ask: the sender asks another one now; foreign_from is the receiver
+   * no claim: the sender leaves the receiver, named by foreign_from
    */
   protobuf_c_boolean is_leaving;
   /*
-   * deal of nothing: the receiver has left, nothing of it is counted here
+   * No reply to a claim: confirms that the receiver left the sender, which counts nothing of it.
    */
   protobuf_c_boolean has_left;
   /*
-   * deal: out of the sender's own lease, not by the home
+   * grant: by a deputy from its own lease, not by the home
    */
   protobuf_c_boolean is_sublet;
   /*
-   * ask: thousandths of a token, saved up alone, that the sender gives
+   * claim: 1/1000 tokens accumulated from the fallback rate, handed over
    */
   uint32_t saved_milli;
   /*
-   * thousandths of a token a second to be spent alone: held, or given
+   * fallback rate in 1/1000 tokens/s; grant: assigned to the receiver
    */
   uint32_t right_milli;
 };
@@ -304,35 +310,35 @@
 
 
 /*
- * What is known of a request that may end back ends.
+ * A request that may crash backends, as in ts_quarantine_row_t.
  */
 struct  TsPeer__QuarantineRow
 {
   ProtobufCMessage base;
   ProtobufCBinaryData digest;
   /*
-   * rises when it is suspected again after it was cleared
+   * incremented when it is suspected again after it was cleared
    */
   uint32_t epoch;
   /*
-   * it ran whole
+   * it has completed successfully
    */
   protobuf_c_boolean is_cleared;
   /*
-   * back ends that ended under a lone send
+   * backends that crashed during an isolated send
    */
   uint32_t strikes;
   /*
-   * lone sends, over all nodes
+   * isolated sends of the suspected request, over all nodes
    */
   uint32_t trials_begun;
   uint32_t trials_ended;
   /*
-   * since the last back end ended under it, or since it was cleared
+   * time since strikes or is_cleared last changed
    */
   uint32_t age_ms;
   /*
-   * where that was
+   * service whose backend crashed last
    */
   char *service;
 };
@@ -347,15 +353,15 @@
   size_t n_rows;
   TsPeer__QuarantineRow **rows;
   /*
-   * the receiver is to compare its sum
+   * asks the receiver to compare its checksum with `sum`
    */
   protobuf_c_boolean is_comparison;
   /*
-   * over what the sender holds
+   * checksum over the sender's quarantined entries
    */
   uint64_t sum;
   /*
-   * the receiver is to send what it has
+   * asks the receiver for its rows
    */
   protobuf_c_boolean wants_rows;
 };
@@ -372,11 +378,11 @@
    */
   uint32_t protocol;
   /*
-   * of the sender
+   * name of the sender
    */
   char *name;
   /*
-   * where the sender listens for peers
+   * address at which peers reach the sender
    */
   char *address;
   /*
@@ -391,16 +397,16 @@
   TsPeer__Evidence *evidence;
   TsPeer__Rate *rate;
   /*
-   * of the frames from this sender to this receiver
+   * sequence number of frames from this sender to this receiver
    */
   uint32_t number;
   /*
-   * the last number that the sender heard from the receiver
+   * last number that the sender received from the receiver
    */
   uint32_t heard;
   TsPeer__Quarantine *quarantine;
   /*
-   * the receiver is to send some frame back soon
+   * requests any frame in return, as an acknowledgement
    */
   protobuf_c_boolean wants_echo;
 };
--- a/src/proto/tealspar.pb-c.h
+++ b/src/proto/tealspar.pb-c.h
@@ -31,7 +31,7 @@
 /* --- messages --- */
 
 /*
- * A hit of one shard, in the searcher's order.
+ * A hit in one shard; hits are in the searcher's order.
  */
 struct  TsWire__Hit
 {
@@ -46,7 +46,7 @@
 
 
 /*
- * One shard to be asked of one back end.
+ * A query of one shard at one backend.
  */
 struct  TsWire__Part
 {
@@ -56,7 +56,7 @@
    */
   uint64_t counter;
   /*
-   * hash of the back end's name
+   * hash of the backend's name
    */
   uint64_t backend;
   /*
@@ -64,7 +64,7 @@
    */
   uint64_t shard;
   /*
-   * zero: any
+   * 0: any
    */
   uint64_t wanted_snapshot;
 };
@@ -74,7 +74,7 @@
 
 
 /*
- * What a query asks of the shards at one broker.
+ * The parts of a query that are sent to one broker.
  */
 struct  TsWire__Subrequests
 {
@@ -98,14 +98,14 @@
 
 
 /*
- * What came of one part.
+ * Result of one part.
  */
 struct  TsWire__Subreply
 {
   ProtobufCMessage base;
   uint64_t counter;
   /*
-   * zero or a number of ts_error_t
+   * 0 or a value of ts_error_t
    */
   int32_t error;
   /*
@@ -128,7 +128,7 @@
 
 
 /*
- * What one node believes of another.
+ * State of a node as known to the sender.
  */
 struct  TsWire__Member
 {
@@ -148,7 +148,7 @@
 
 
 /*
- * A probe, its answer, a request to probe for another, or a plain push of rumours.
+ * A probe, an ack, an indirect probe request, or a push of membership updates.
  */
 struct  TsWire__Gossip
 {
@@ -163,16 +163,16 @@
    */
   char *target;
   /*
-   * rumours carried along
+   * piggybacked membership updates
    */
   size_t n_members;
   TsWire__Member **members;
   /*
-   * version in force at the sender
+   * the sender's current configuration version
    */
   uint64_t config_version;
   /*
-   * hash of that document
+   * hash of that configuration
    */
   uint64_t config_digest;
   /*
@@ -186,13 +186,13 @@
 
 
 /*
- * A configuration asked for or given.
+ * A request for a configuration, or a configuration.
  */
 struct  TsWire__Document
 {
   ProtobufCMessage base;
   /*
-   * true: the sender asks for it
+   * true: a request
    */
   protobuf_c_boolean wanted;
   uint64_t version;
@@ -224,7 +224,7 @@
   size_t n_cancels;
   uint64_t *cancels;
   /*
-   * packed Gossip messages, which only membership reads
+   * packed Gossip messages, passed to membership as they are
    */
   size_t n_gossips;
   ProtobufCBinaryData *gossips;
