--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -1,4 +1,7 @@
-/** What the pure parts cost, in one process: the decision, the codec, the gate, ownership. */
+/**
+ * Time of the operations that do no I/O, in one process: routing decisions, admission, ownership,
+ * the wire codec, and loading of declarations.
+ */
 #include <glib.h>
 #include <stdio.h>
 #include <string.h>
@@ -10,16 +13,16 @@
 #include "tealspar/view.h"
 #include "tealspar/wire.h"
 
-#define ROUNDS 20000
+#define ITERATIONS 20000
 #define SHARDS 83
 #define NODES 119
 
-static void print_row(const char *label, ts_time_us_t begin_us, unsigned rounds)
+static void print_row(const char *label, ts_time_us_t begin_us, unsigned iterations)
 {
-    printf("| %s | %.3f |\n", label, (double)(ts_clock_now_us() - begin_us) / rounds);
+    printf("| %s | %.3f |\n", label, (double)(ts_clock_now_us() - begin_us) / iterations);
 }
 
-static void bench_snapshot(void)
+static void bench_snapshot_choice(void)
 {
     ts_shard_versions_t shards[SHARDS] = {0};
     uint64_t sum = 0;
@@ -27,15 +30,15 @@
         shards[i].answered[0] = 1 + (i % 7 == 0);
     }
     ts_time_us_t begin_us = ts_clock_now_us();
-    for (int i = 0; i < ROUNDS; i++) {
+    for (int i = 0; i < ITERATIONS; i++) {
         shards[i % SHARDS].open = i & 1;
         sum += ts_route_choose_snapshot(shards, SHARDS).covered;
     }
-    print_row("choice of the snapshot over 83 shards", begin_us, ROUNDS);
+    print_row("snapshot choice over 83 shards", begin_us, ITERATIONS);
     (void)sum;
 }
 
-static void bench_choice(void)
+static void bench_replica_choice(void)
 {
     const ts_policy_t *policy = ts_plugin_find(TS_PLUGIN_POLICY, "adaptive");
     ts_candidate_t candidates[3] = {{.slots = 5, .service_us = 2000},
@@ -43,11 +46,11 @@
                                     {.slots = 5, .service_us = 1900}};
     int sum = 0;
     ts_time_us_t begin_us = ts_clock_now_us();
-    for (int i = 0; i < ROUNDS; i++) {
+    for (int i = 0; i < ITERATIONS; i++) {
         ts_choice_input_t input = {candidates, 3, 0, (uint64_t)i * 0x9E3779B97F4A7C15ULL};
         sum += policy->choose(&input);
     }
-    print_row("choice among three replicas", begin_us, ROUNDS);
+    print_row("replica choice among three", begin_us, ITERATIONS);
     (void)sum;
 }
 
@@ -61,15 +64,15 @@
     ts_error_t error = TS_OK;
     unsigned sum = 0;
     ts_time_us_t begin_us = ts_clock_now_us();
-    for (unsigned i = 0; i < ROUNDS; i++) {
+    for (unsigned i = 0; i < ITERATIONS; i++) {
         input.slots_in_use = i % 6;
         sum += ts_admission_decide(&input, &error);
     }
-    print_row("the owner's gate", begin_us, ROUNDS);
+    print_row("admission decision of the owner", begin_us, ITERATIONS);
     (void)sum;
 }
 
-static void bench_owner(void)
+static void bench_owner_lookup(void)
 {
     ts_view_t *view = ts_view_create(NODES);
     for (int i = 0; i < NODES; i++) {
@@ -79,11 +82,11 @@
     }
     uint64_t sum = 0;
     ts_time_us_t begin_us = ts_clock_now_us();
-    for (uint64_t i = 0; i < ROUNDS; i++) {
+    for (uint64_t i = 0; i < ITERATIONS; i++) {
         ts_backend_t backend = {.id = i, .zone = "zone"};
         sum += ts_view_owner(view, &backend)->id;
     }
-    print_row("owner of a back end among 119 nodes of its zone", begin_us, ROUNDS);
+    print_row("owner look-up of a backend among 119 nodes of its zone", begin_us, ITERATIONS);
     (void)sum;
     ts_view_unref(view);
 }
@@ -116,7 +119,7 @@
     }
     size_t length = 0;
     ts_time_us_t begin_us = ts_clock_now_us();
-    for (int i = 0; i < ROUNDS; i++) {
+    for (int i = 0; i < ITERATIONS; i++) {
         ts_wire_frame_t *frame = ts_wire_frame_build(&alpha, messages, 4);
         length = ts_wire_frame_size(frame);
         uint8_t *bytes = g_malloc(length);
@@ -125,9 +128,9 @@
         ts_wire_frame_unpack(&beta, bytes, length, destroy_message, NULL);
         g_free(bytes);
     }
-    print_row("a frame of four subreplies with two hits each, packed and unpacked", begin_us,
-              ROUNDS);
-    printf("| size of that frame, bytes | %zu |\n", length);
+    print_row("frame of four subreplies with two hits each, packed and unpacked", begin_us,
+              ITERATIONS);
+    printf("| size of this frame, bytes | %zu |\n", length);
     for (int i = 0; i < 4; i++) {
         messages[i]->destroy(messages[i]);
     }
@@ -140,7 +143,7 @@
     if (declarations == NULL) {
         return;
     }
-    printf("| %s: %u back ends, %zu bytes, loaded and checked | %.0f |\n", path,
+    printf("| %s: %u backends, %zu bytes, loaded and validated | %.0f |\n", path,
            declarations->backends_count, declarations->text_length,
            (double)(ts_clock_now_us() - begin_us));
     ts_declarations_unref(declarations);
@@ -149,10 +152,10 @@
 int main(int argc, char **argv)
 {
     printf("| step | us |\n| --- | --- |\n");
-    bench_snapshot();
-    bench_choice();
+    bench_snapshot_choice();
+    bench_replica_choice();
     bench_admission();
-    bench_owner();
+    bench_owner_lookup();
     bench_codec();
     for (int i = 1; i < argc; i++) {
         bench_declarations(argv[i]);
--- a/bench/bench_mesh.c
+++ b/bench/bench_mesh.c
@@ -1,6 +1,7 @@
 /**
- * What nng costs between two processes over loopback TCP, push to pull: processor time a message,
- * with nng's threads free on all cores and kept on one, and memory an idle connection at both ends.
+ * Cost of nng between two processes over loopback TCP, push to pull: CPU time per message, with
+ * nng's threads free to use all cores and with each process pinned to one core, and memory per idle
+ * connection at both ends.
  */
 #include <nng/nng.h>
 #include <nng/protocol/pipeline0/pull.h>
@@ -48,7 +49,7 @@
     return resident * sysconf(_SC_PAGESIZE) / 1024;
 }
 
-static void pin(int core)
+static void pin_to_core(int core)
 {
     cpu_set_t set;
     CPU_ZERO(&set);
@@ -58,18 +59,18 @@
     }
 }
 
-/* What the receiving process tells its parent. */
+/* Written by the receiving process to its parent through a pipe. */
 typedef struct receiver_result {
     double seconds;
     double cpu;
-    long kb_a_connection;
+    long memory_kb; /* growth of resident memory with all connections open */
 } receiver_result_t;
 
 static void receive(int core, int results)
 {
     nng_socket socket;
     receiver_result_t result = {0};
-    pin(core);
+    pin_to_core(core);
     nng_pull0_open(&socket);
     nng_socket_set_int(socket, NNG_OPT_RECVBUF, 1024);
     nng_listen(socket, URL, NULL, 0);
@@ -95,7 +96,7 @@
 static double send_all(int core, size_t size)
 {
     nng_socket socket;
-    pin(core);
+    pin_to_core(core);
     nng_push0_open(&socket);
     nng_socket_set_int(socket, NNG_OPT_SENDBUF, 256);
     nng_dial(socket, URL, NULL, 0);
@@ -109,11 +110,11 @@
         }
     }
     cpu = cpu_seconds() - cpu;
-    sleep(1); /* what is buffered still leaves */
+    sleep(1); /* lets nng send the buffered messages */
     return cpu;
 }
 
-static void measure(const char *label, int sender_core, int receiver_core, size_t size)
+static void measure_throughput(const char *label, int sender_core, int receiver_core, size_t size)
 {
     int pipe_fds[2];
     int sender_fds[2];
@@ -175,7 +176,7 @@
             nng_push0_open(&sockets[i]);
             nng_dial(sockets[i], URL, NULL, 0);
         }
-        printf("| memory a dialled idle connection | %.1f KB |\n",
+        printf("| memory per dialled idle connection | %.1f KB |\n",
                (double)(resident_kb() - before) / CONNECTIONS);
         fflush(stdout);
         sleep(4);
@@ -183,8 +184,8 @@
     }
     ssize_t got = read(fds[0], &result, sizeof(result));
     if (got > 0) {
-        printf("| memory an accepted idle connection | %.1f KB |\n",
-               (double)result.kb_a_connection / CONNECTIONS);
+        printf("| memory per accepted idle connection | %.1f KB |\n",
+               (double)result.memory_kb / CONNECTIONS);
     }
     fflush(stdout);
     while (wait(NULL) > 0) {
@@ -196,10 +197,10 @@
     printf("| push to pull | messages/s | receiver, us CPU | sender, us CPU |\n");
     printf("| --- | --- | --- | --- |\n");
     fflush(stdout);
-    measure("threads free", -1, -1, 200);
-    measure("threads free", -1, -1, 8000);
-    measure("each process on one core", 1, 2, 200);
-    measure("each process on one core", 1, 2, 8000);
+    measure_throughput("threads on all cores", -1, -1, 200);
+    measure_throughput("threads on all cores", -1, -1, 8000);
+    measure_throughput("each process on one core", 1, 2, 200);
+    measure_throughput("each process on one core", 1, 2, 8000);
     printf("\n| %d idle connections | |\n| --- | --- |\n", CONNECTIONS);
     fflush(stdout);
     measure_memory();
--- a/bench/bench_quarantine.c
+++ b/bench/bench_quarantine.c
@@ -1,7 +1,7 @@
 /**
- * What the quarantine costs: a request's digest, its look-up in a full table, and a flood of
- * different requests under which back ends ended. Without any such request a look-up is one
- * comparison, and no digest is made: 0 before the quarantine was there, and 0 now.
+ * Cost of the quarantine: the digest of a request, its look-up in a full table, and a flood of
+ * distinct requests suspected of crashing backends. With an empty table a look-up is one comparison
+ * and no digest is computed: the cost is 0, as without a quarantine.
  */
 #include <glib.h>
 #include <malloc.h>
@@ -12,18 +12,18 @@
 #include "tealspar/log.h"
 #include "tealspar/quarantine.h"
 
-#define RUNS 200000U
-#define FLOOD 100000U
-#define HELD 1024U
+#define ITERATIONS 200000U
+#define SUSPECTS 100000U
+#define QUARANTINED 1024U
 #define BODY_SIZE (64U * 1024U)
-#define BODY_RUNS 2000U
+#define BODY_ITERATIONS 2000U
 
 static double us_since(ts_time_us_t begun_us)
 {
     return (double)(ts_clock_now_us() - begun_us);
 }
 
-static ts_request_digest_t digest_of(uint32_t number, const char *body, size_t size)
+static ts_request_digest_t compute_digest(uint32_t number, const char *body, size_t size)
 {
     static const char line[] = "GET /search/guests?roll=17&name=mehta&page=2 HTTP/1.1\r\n";
     ts_digest_piece_t pieces[] = {{line, strlen(line)},
@@ -38,70 +38,71 @@
     char *body = g_malloc0(BODY_SIZE);
     unsigned sum = 0;
     ts_time_us_t begun_us = ts_clock_now_us();
-    for (uint32_t i = 0; i < RUNS; i++)
-        sum += digest_of(i, NULL, 0).bytes[0];
-    printf("digest without a body: %.2f us (%u)\n", us_since(begun_us) / RUNS, sum);
+    for (uint32_t i = 0; i < ITERATIONS; i++)
+        sum += compute_digest(i, NULL, 0).bytes[0];
+    printf("digest without a body: %.2f us (%u)\n", us_since(begun_us) / ITERATIONS, sum);
     begun_us = ts_clock_now_us();
-    for (uint32_t i = 0; i < BODY_RUNS; i++)
-        sum += digest_of(i, body, BODY_SIZE).bytes[0];
+    for (uint32_t i = 0; i < BODY_ITERATIONS; i++)
+        sum += compute_digest(i, body, BODY_SIZE).bytes[0];
     printf("digest with %u kB of body: %.0f us (%u)\n", BODY_SIZE / 1024U,
-           us_since(begun_us) / BODY_RUNS, sum);
+           us_since(begun_us) / BODY_ITERATIONS, sum);
     g_free(body);
 }
 
-static double allocated(void)
+static double allocated_bytes(void)
 {
     struct mallinfo2 info = mallinfo2();
     return (double)(info.uordblks + info.hblkhd);
 }
 
-static void hold(ts_quarantine_t *quarantine, uint32_t first, uint32_t count)
+static void quarantine_requests(ts_quarantine_t *quarantine, uint32_t first, uint32_t count)
 {
     for (uint32_t i = first; i < first + count; i++) {
-        ts_request_digest_t digest = digest_of(i, NULL, 0);
+        ts_request_digest_t digest = compute_digest(i, NULL, 0);
         ts_quarantine_strike(quarantine, &digest, "shard", TS_US_PER_S, TS_US_PER_S);
         ts_quarantine_strike(quarantine, &digest, "shard", TS_US_PER_S, TS_US_PER_S);
     }
 }
 
-static void measure_flood(ts_quarantine_t *quarantine)
+static void measure_suspects(ts_quarantine_t *quarantine)
 {
     ts_time_us_t begun_us = ts_clock_now_us();
-    for (uint32_t i = 0; i < FLOOD; i++) {
-        ts_request_digest_t digest = digest_of(HELD + i, NULL, 0);
+    for (uint32_t i = 0; i < SUSPECTS; i++) {
+        ts_request_digest_t digest = compute_digest(QUARANTINED + i, NULL, 0);
         ts_quarantine_suspect(quarantine, &digest, "shard", TS_US_PER_S + i);
     }
-    printf("flood of %u different suspects: %.2f us each, digest included\n", FLOOD,
-           us_since(begun_us) / FLOOD);
+    printf("flood of %u distinct suspects: %.2f us each, including the digest\n", SUSPECTS,
+           us_since(begun_us) / SUSPECTS);
 }
 
-static void measure_look_ups(const ts_quarantine_t *quarantine)
+static void measure_lookups(const ts_quarantine_t *quarantine)
 {
-    unsigned held = 0;
+    unsigned quarantined = 0;
     ts_request_digest_t digests[16];
     for (uint32_t i = 0; i < G_N_ELEMENTS(digests); i++)
-        digests[i] = digest_of(i * 97U, NULL, 0);
+        digests[i] = compute_digest(i * 97U, NULL, 0);
     ts_time_us_t begun_us = ts_clock_now_us();
-    for (uint32_t i = 0; i < RUNS; i++)
-        held += ts_quarantine_find(quarantine, &digests[i % G_N_ELEMENTS(digests)],
-                                   2 * TS_US_PER_S) == TS_QUARANTINE_QUARANTINED;
-    printf("look-up in a full table: %.3f us, %u of %u held\n", us_since(begun_us) / RUNS, held,
-           RUNS);
+    for (uint32_t i = 0; i < ITERATIONS; i++)
+        quarantined += ts_quarantine_find(quarantine, &digests[i % G_N_ELEMENTS(digests)],
+                                          2 * TS_US_PER_S) == TS_QUARANTINE_QUARANTINED;
+    printf("look-up in a full table: %.3f us, %u of %u quarantined\n",
+           us_since(begun_us) / ITERATIONS, quarantined, ITERATIONS);
     begun_us = ts_clock_now_us();
     uint64_t sum = ts_quarantine_checksum(quarantine, 2 * TS_US_PER_S);
-    printf("sum over what is held: %.0f us (%lx)\n", us_since(begun_us), (unsigned long)sum);
+    printf("checksum over the quarantined requests: %.0f us (%lx)\n", us_since(begun_us),
+           (unsigned long)sum);
 }
 
 int main(void)
 {
     ts_log_open("bench", TS_LOG_TEXT, G_LOG_LEVEL_CRITICAL);
     measure_digest();
-    double before = allocated();
+    double before = allocated_bytes();
     ts_quarantine_t *quarantine = ts_quarantine_create();
-    hold(quarantine, 0, HELD);
-    measure_flood(quarantine);
-    printf("memory of a full table: %.0f kB\n", (allocated() - before) / 1024);
-    measure_look_ups(quarantine);
+    quarantine_requests(quarantine, 0, QUARANTINED);
+    measure_suspects(quarantine);
+    printf("memory of a full table: %.0f kB\n", (allocated_bytes() - before) / 1024);
+    measure_lookups(quarantine);
     ts_quarantine_destroy(quarantine);
     return 0;
 }
--- a/tests/integration/run_scenario.c
+++ b/tests/integration/run_scenario.c
@@ -1,6 +1,7 @@
 /**
- * One scenario as a cmocka test: real processes behind the fault proxy, the verdict from both
- * sides' journals. The scenario's file stands in this folder; its path is the only argument.
+ * Runs one scenario of this directory as a cmocka test: real processes connected through the fault
+ * proxy. The lab checks the scenario against the journals of callers and searchers.
+ * Arguments: the path of tealspar-lab and that of the scenario.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,7 +18,7 @@
 static const char *scenario_path;
 static const char *lab_path;
 
-static json_t *last_line_as_json(const char *text)
+static json_t *parse_last_line(const char *text)
 {
     char *copy = g_strchomp(g_strdup(text));
     const char *line = strrchr(copy, '\n');
@@ -26,25 +27,25 @@
     return report;
 }
 
-/* What a run left is of use only if it failed. */
-static void remove_folder(const char *path)
+/* Called after a run that passed; the files of a failed run are kept for analysis. */
+static void remove_directory(const char *path)
 {
-    GDir *folder = g_dir_open(path, 0, NULL);
+    GDir *directory = g_dir_open(path, 0, NULL);
     const char *name = NULL;
-    while (folder != NULL && (name = g_dir_read_name(folder)) != NULL) {
+    while (directory != NULL && (name = g_dir_read_name(directory)) != NULL) {
         char *file = g_build_filename(path, name, NULL);
         unlink(file);
         g_free(file);
     }
-    if (folder != NULL)
-        g_dir_close(folder);
+    if (directory != NULL)
+        g_dir_close(directory);
     rmdir(path);
 }
 
 static void test_scenario(void **state)
 {
     char *name = g_path_get_basename(scenario_path);
-    // runs of one work tree don't share a folder
+    // one directory per process: runs in the same work tree must not overwrite each other's files
     char *out = g_strdup_printf("lab-out/test-%s-%d", name, (int)getpid());
     char *arguments[] = {(char *)lab_path, "run", (char *)scenario_path, "--out", out, NULL};
     char *output = NULL;
@@ -52,7 +53,7 @@
     int status = 0;
     assert_true(g_spawn_sync(NULL, arguments, NULL, G_SPAWN_DEFAULT, NULL, NULL, &output, &errors,
                              &status, NULL));
-    json_t *report = last_line_as_json(output);
+    json_t *report = parse_last_line(output);
     if (status != 0 || report == NULL) {
         fail_msg("%s\n%s\n%s\nlogs: %s", scenario_path, errors, output, out);
     }
@@ -63,7 +64,7 @@
     {
         assert_int_equal(json_integer_value(value), 0);
     }
-    remove_folder(out);
+    remove_directory(out);
     json_decref(report);
     g_free(errors);
     g_free(output);
