--- a/include/tealspar/contact.h
+++ b/include/tealspar/contact.h
@@ -1,9 +1,10 @@
 /**
  * Detects whether this node currently reaches a majority of the fleet. Membership takes 5 to 8 s
  * (probes and suspicion) to remove nodes that are cut off one after the other; this detects a
- * partition within two seconds from the zones that have acknowledged a frame, and names nodes to
- * probe in zones that are silent. It works on whole zones because partitions separate zones at the
- * links between them; an isolated node is a special case of this. Uses neither clock nor sockets.
+ * partition within two seconds, since frames to the zones behind it are no longer acknowledged. It
+ * also selects nodes to probe in silent zones. It works on whole zones because partitions separate
+ * zones at the links between them; an isolated node is a special case of this. Uses neither clock
+ * nor sockets.
  */
 #ifndef TEALSPAR_CONTACT_H
 #define TEALSPAR_CONTACT_H
--- a/include/tealspar/peer_link.h
+++ b/include/tealspar/peer_link.h
@@ -25,9 +25,12 @@
 /** Sets the callback for ended connections; it runs on the loop with the link's context. */
 void ts_peer_link_set_disconnect_callback(ts_peer_link_t *link,
                                           ts_peer_disconnected_cb_t disconnected);
-/** Sets the number of messages queued per peer (default 64); call before the first send. */
+/** Sets the size of each peer's queues in messages (default 64); call before the first send. */
 void ts_peer_link_set_buffer(ts_peer_link_t *link, unsigned messages);
-/** Sends a message, or drops one when the queue of the peer is full. Never blocks. */
+/**
+ * Sends a message, or queues it until the peer is connected. Never blocks. When a queue is full,
+ * the new message is dropped if the peer is connected, otherwise the oldest queued one.
+ */
 void ts_peer_link_send(ts_peer_link_t *link, const char *address, const uint8_t *bytes,
                        size_t length);
 /** When the current connection to a peer was established; 0: not connected. */
@@ -36,7 +39,7 @@
 void ts_peer_link_reset(ts_peer_link_t *link, const char *address);
 /** Stops listening and closes incoming connections. */
 void ts_peer_link_close(ts_peer_link_t *link);
-/** Closes connections to peers that have been idle for some seconds. */
+/** Closes connections to peers to which nothing was sent for 8 s; to be called periodically. */
 void ts_peer_link_sweep(ts_peer_link_t *link, ts_time_us_t now_us);
 
 #endif
--- a/include/tealspar/peers.h
+++ b/include/tealspar/peers.h
@@ -1,8 +1,8 @@
 /**
  * Communication with the other gateways: membership and the messages exchanged between nodes. In
  * each zone one node, the watcher, watches the configuration service and distributes its changes;
- * the other nodes query the service themselves only when they receive no updates. Suspicions of
- * backends are shared within the region.
+ * the other nodes query the service themselves only while the watcher's announcements do not
+ * confirm their entries as current. Suspicions of backends are shared within the region.
  */
 #ifndef TEALSPAR_PEERS_H
 #define TEALSPAR_PEERS_H
@@ -18,7 +18,10 @@
 bool ts_peers_is_follower(const ts_peers_t *peers);
 /** Whether this node is the watcher and its zone has other nodes. */
 bool ts_peers_has_followers(const ts_peers_t *peers);
-/** Announces a change read from the configuration service to the zone immediately. */
+/**
+ * Announces a change read from the configuration service: the configuration version by gossip and,
+ * if this node is the watcher, its position to the zone immediately.
+ */
 void ts_peers_announce(ts_peers_t *peers);
 /** Pulls changes from a random peer; for nodes without entries or access to the service. */
 void ts_peers_pull_from_random_peer(ts_peers_t *peers);
@@ -31,18 +34,20 @@
 unsigned ts_peers_index(const ts_peers_t *peers, const ts_instance_t *instance);
 /** Increases whenever the members or their locations may have changed. */
 uint64_t ts_peers_view_version(const ts_peers_t *peers);
-/** Borrows retry budget of a service from other nodes when the local budget is exhausted. */
+/** Asks other nodes to lend retry budget of a service; to be called when its own is exhausted. */
 void ts_peers_request_loan(ts_peers_t *peers, ts_service_t *service, ts_time_us_t now_us);
 /**
  * The home of a rate account, which issues its tokens: the live node with the highest rendezvous
- * weight. TS_RATE_ISSUER_NONE while the view holds no majority of the fleet, or while this node has
- * just started and cannot tell; see ts_rate_limiter_ops_t.
+ * weight. TS_RATE_ISSUER_NONE while the view holds no majority of the fleet, while this node has
+ * just started and cannot tell, or if this node would be the home but does not reach a majority;
+ * `*address` is then not set. See ts_rate_limiter_ops_t.
  */
 ts_rate_issuer_t ts_peers_find_rate_home(const ts_peers_t *peers, const char *account,
                                          const char **address);
 /**
  * The deputy of an account in this zone: the home if it is in this zone, otherwise the zone's live
- * node with the highest rendezvous weight.
+ * node with the highest rendezvous weight; TS_RATE_ISSUER_SELF if the zone has no live node, in
+ * which case `*address` is not set.
  */
 ts_rate_issuer_t ts_peers_find_rate_deputy(const ts_peers_t *peers, const char *account,
                                            const char **address);
@@ -56,7 +61,7 @@
 void ts_peers_set_mute(ts_peers_t *peers, bool is_mute);
 /** Announces that this node is leaving. */
 void ts_peers_leave(ts_peers_t *peers);
-/** Closes idle connections. */
+/** Closes idle connections to peers; see ts_peer_link_sweep. */
 void ts_peers_sweep(ts_peers_t *peers, ts_time_us_t now_us);
 
 #endif
--- a/include/tealspar/registry.h
+++ b/include/tealspar/registry.h
@@ -77,7 +77,7 @@
     bool is_suspicion_reported;    /**< the suspicion was reported to other nodes */
     bool is_suspected_by_peer;     /**< the suspicion came from a peer, not from this node */
     ts_time_us_t suspect_sent_us;  /**< last request sent to it while suspected */
-    ts_time_us_t avoid_until_us;   /**< end of the pause after a failed connection or a refusal */
+    ts_time_us_t avoid_until_us;   /**< end of avoidance after a failure or refusal; 0: none */
     uint32_t failures;             /**< consecutive failed connections and requests */
     ts_time_us_t connect_begun_us; /**< begin of the last successful connection; 0: none yet */
     bool has_ended; /**< its process is gone: connections refused, or it was replaced */
@@ -101,7 +101,7 @@
 
 /** Number of priorities with refusal statistics of their own; lower ones count as the last. */
 #define TS_PRIORITIES 4U
-/* Request ranks: the tenant's priority, then the route's. */
+/* Number of request ranks, which are ordered by the tenant's priority, then by the route's. */
 #define TS_RANKS (TS_PRIORITIES * TS_PRIORITIES)
 
 struct ts_service {
@@ -157,7 +157,7 @@
 /** Records how long it took to connect to the instance. */
 void ts_registry_add_rtt_sample(ts_registry_t *registry, const ts_instance_t *instance,
                                 ts_time_us_t connect_us);
-/** Shortest and longest round-trip time to a zone that has had backends, in microseconds. */
+/** Shortest and longest estimated round-trip time to a zone that has had backends. */
 double ts_registry_rtt_min_us(const ts_registry_t *registry);
 double ts_registry_rtt_max_us(const ts_registry_t *registry);
 /** The instance with this key if it is the searcher's current incarnation, else NULL. */
@@ -193,8 +193,9 @@
 void ts_instance_note_answer(ts_instance_t *instance, ts_time_us_t now_us, double span_us,
                              double typical_us);
 /**
- * Records that an answer is no longer awaited after `span_us`. Returns whether it counted as late;
- * if so, the caller must not record the time of that answer again.
+ * Records that a request has given up waiting for an answer after `span_us`; the answer may still
+ * arrive. Returns whether it already counted as slow; if so, the caller must not record
+ * the time of that answer again.
  */
 bool ts_instance_note_unanswered(ts_instance_t *instance, ts_time_us_t now_us, double span_us,
                                  double typical_us);
--- a/src/peers/contact.c
+++ b/src/peers/contact.c
@@ -7,9 +7,9 @@
 /* A zone counts as reachable for this long after an acknowledgement, enough to tolerate two lost
  * probes in a row. */
 #define REACHABLE_TIMEOUT_US (2 * TS_US_PER_S)
-/* Time since the last acknowledgement after which a zone is probed, and the interval of its probes
- * until the next one. */
+/* A zone is probed once its last acknowledgement is older than this. */
 #define PROBE_AFTER_US (700 * TS_US_PER_MS)
+/* Interval of the probes of a zone until it acknowledges one. */
 #define PROBE_INTERVAL_US (400 * TS_US_PER_MS)
 
 typedef struct zone {
@@ -17,13 +17,14 @@
     GPtrArray *addresses;   /* of its members except this node; owned strings */
     ts_time_us_t acked_us;  /* last acknowledgement from a member; 0: never */
     ts_time_us_t probed_us; /* last probe; 0: never */
-    /* Modulo the number of addresses, selects the member to probe; incremented when a probe was not
-     * acknowledged. */
-    guint next;
+    /* The member at this index, modulo the number of addresses, is probed; incremented when the
+     * last probe was not acknowledged. */
+    guint probe_index;
 } zone_t;
 
 struct ts_contact {
-    guint probe_offset; /* initial `next` of a zone; differs between nodes to spread their probes */
+    guint probe_offset; /* initial `probe_index` of a zone; differs between nodes to spread their
+                           probes */
     GPtrArray *zones;
     GHashTable *zone_by_address; /* address -> zone_t */
     size_t members;              /* size of the view, this node included */
@@ -64,7 +65,7 @@
     zone_t *zone = g_new0(zone_t, 1);
     zone->name = g_strdup(name);
     zone->addresses = g_ptr_array_new_with_free_func(g_free);
-    zone->next = contact->probe_offset;
+    zone->probe_index = contact->probe_offset;
     g_ptr_array_add(contact->zones, zone);
     return zone;
 }
@@ -114,9 +115,9 @@
         if (zone->addresses->len == 0 || !is_silent || was_probed_recently)
             continue;
         if (zone->probed_us > zone->acked_us)
-            zone->next++;
+            zone->probe_index++;
         zone->probed_us = now_us;
-        return g_ptr_array_index(zone->addresses, zone->next % zone->addresses->len);
+        return g_ptr_array_index(zone->addresses, zone->probe_index % zone->addresses->len);
     }
     return NULL;
 }
--- a/src/peers/peer_link.c
+++ b/src/peers/peer_link.c
@@ -32,8 +32,9 @@
  * double, so that reaching the peer after the partition could take as long as the partition lasted.
  */
 #define DIAL_TIMEOUT_US (1ULL * TS_US_PER_S)
-/* Longer than the interval between regular messages to the same peer. Without a limit, a seed node
- * would keep a connection to every node that has ever joined through it. */
+/* A connection is closed this long after the last send to the peer; longer than the interval
+ * between regular messages to the same peer. Without a limit, a seed node would keep a connection
+ * to every node that has ever joined through it. */
 #define IDLE_TIMEOUT_US (8ULL * TS_US_PER_S)
 /* Request id in the message header; the highest bit marks the end of the header. */
 #define REQUEST_ID 0x80000000U
@@ -44,11 +45,11 @@
     uint32_t dial; /* number of the current dial; identifies it on nng's threads */
     bool is_open;
     ts_time_us_t dialed_us;    /* when its socket was opened or lost its connection */
-    ts_time_us_t connected_us; /* when its connection was established */
+    ts_time_us_t connected_us; /* when its current connection was established */
     int pipe;                  /* nng's id of its connection; 0: not connected */
     GQueue waiting;            /* of nng_msg, sent once connected */
     bool is_dropping; /* the last message was dropped; limits logging to the first of a series */
-    ts_time_us_t used_us;
+    ts_time_us_t used_us; /* when a message to it was last sent, queued or dropped */
 } peer_t;
 
 /* Events passed from nng's threads to the loop. */
@@ -276,7 +277,7 @@
         return; /* this dial was closed in the meantime */
     bool is_up = event->type == EVENT_CONNECTED;
     if (is_up ? peer->pipe != 0 : peer->pipe == event->pipe)
-        handle_disconnect(link, peer); // its end is reported now, or was not reported yet
+        handle_disconnect(link, peer); // the end of a replaced connection may be reported later
     if (is_up)
         set_connected(peer, event->pipe);
     while (peer->pipe != 0 && peer->waiting.length > 0)
--- a/src/peers/peers_echo.c
+++ b/src/peers/peers_echo.c
@@ -8,17 +8,19 @@
 #include "tealspar/counters.h"
 #include "tealspar/log.h"
 
-/* Time without full acknowledgement after which a frame requests one. */
+/* A frame requests an acknowledgement if earlier frames have been unacknowledged for longer than
+ * this; a frame with gossip always does. */
 #define REQUEST_AFTER_US (500 * TS_US_PER_MS)
-/* Time to wait for a requested acknowledgement: several round trips between regions. */
+/* Time after the request of an acknowledgement until it is overdue: several round trips between
+ * regions. */
 #define ACK_TIMEOUT_US (350 * TS_US_PER_MS)
 
-typedef struct ack {
+typedef struct ack_state {
     uint32_t last_sent;             /* number of the last frame to the peer */
     uint32_t last_acknowledged;     /* last of these that the peer has acknowledged */
     uint32_t last_received;         /* number of the last frame from the peer */
-    ts_time_us_t unacknowledged_us; /* since when frames are unacknowledged, or the last partial
-                                       ack; 0: none are */
+    ts_time_us_t unacknowledged_us; /* begin of the wait for an ack of the last frame, restarted by
+                                       each partial ack; 0: all frames are acknowledged */
     ts_time_us_t requested_us;      /* when an ack was requested; 0: no request is outstanding */
 } ack_state_t;
 
--- a/src/peers/peers_evidence.c
+++ b/src/peers/peers_evidence.c
@@ -14,14 +14,15 @@
 #include "tealspar/counters.h"
 #include "tealspar/hash.h"
 
-/* Counts are batched for this long before they are sent one level up. */
+/* Evidence is batched for this long before it is sent: counts up, on the collector sums down. */
 #define BATCH_MS 50
 /* Minimum interval at which unchanged sums of an anomalous backend are repeated while new counts
  * arrive; well within their half-life. */
 #define REPEAT_INTERVAL_US (400 * TS_US_PER_MS)
-/* Minimum change, against the sums sent last, for sending again before that interval. */
-#define FAILURE_RATE_CHANGE 0.1
-#define LATENCY_RATIO_CHANGE 1.2
+/* Sums are sent again before that interval if they differ by more than this from those sent last.
+ */
+#define FAILURE_RATE_CHANGE 0.1  /* difference of the failure rates */
+#define LATENCY_RATIO_CHANGE 1.2 /* quotient of the latency ratios, in either direction */
 /*
  * If at least this many backends, and more than this share of those that answered since the last
  * batch, are anomalous at once, the cause is more likely this node or its network link, and their
@@ -29,11 +30,12 @@
  */
 #define LOCAL_FAULT_MIN_BACKENDS 6U
 #define LOCAL_FAULT_MIN_SHARE 0.5
-/* Limits of the answers in a row and of their mean of ln(time / typical time), so that no single
- * node outweighs the others. */
+/* Limits for each received row of counts, so that no single node outweighs the others: the number
+ * of answers, and their mean of ln(time / typical time). */
 #define ROW_ANSWERS_MAX 64.0F
 #define ROW_LOG_RATIO_MAX 3.0F
-/* A sequence number behind by less than this is stale, by more is that of a restarted node. */
+/* A frame whose sequence number is behind the sender's last one by less than this is stale; if it
+ * is further behind, the sender has restarted. */
 #define SEQUENCE_WINDOW 4096U
 
 /* Rows of one frame, filled while iterating over the instances. */
--- a/src/peers/peers_internal.h
+++ b/src/peers/peers_internal.h
@@ -31,9 +31,9 @@
     ts_store_position_t sent_beacon_position; /* position in that beacon */
     unsigned ticks;
     bool is_mute;           /**< see ts_peers_set_mute */
-    ts_time_us_t pulled_us; /* when the outstanding pull was sent; 0: none is outstanding */
-    ts_store_position_t announced_position; /**< newest position announced by a peer */
-    char *announcer;                        /**< address of that peer; NULL: none yet */
+    ts_time_us_t pulled_us; /* last pull from an announcing peer; 0: none, or changes arrived */
+    ts_store_position_t announced_position; /**< newest position in a received beacon */
+    char *announcer;                        /**< address of its sender; NULL: none yet */
     uint64_t announced_version;             /* newest configuration version announced by gossip */
     ts_time_us_t announced_version_us;      /* when it was first announced */
     ts_time_us_t random_pull_us;            /* when a random peer was last sent a pull */
@@ -54,7 +54,7 @@
     uint64_t live_digest;    /* digest of the live members at the last change of the view */
     size_t members_live;     /* live members at the last change of the view */
     size_t members_max;      /* largest size of the view so far */
-    ts_time_us_t shrunk_us;  /* since when the view has been smaller than that; 0: it is not */
+    ts_time_us_t shrunk_us;  /* since when the view has been below `members_max`; 0: it is not */
 };
 
 // -- peers.c
@@ -70,7 +70,10 @@
 bool ts_peers_is_watcher(const ts_peers_t *peers);
 
 // -- peers_store.c: distribution of changes from the configuration service
-/** Sends the position of this node's entries and its age to the children in the zone's tree. */
+/**
+ * Sends the position of this node's entries, and the age of its last confirmation as the newest, to
+ * the children in the zone's tree.
+ */
 void ts_peers_send_beacon(ts_peers_t *peers);
 void ts_peers_handle_beacon(ts_peers_t *peers, const TsPeer__Frame *frame);
 void ts_peers_handle_pull(ts_peers_t *peers, const TsPeer__Frame *frame);
@@ -97,11 +100,14 @@
 
 // -- peers_echo.c
 void ts_peers_init_acks(ts_peers_t *peers);
-/** Numbers an outgoing frame; resets the peer's connection first if its ack is overdue. */
+/**
+ * Sets the frame's number and ack, and whether it requests an ack. Resets the connection to the
+ * peer first if an ack is overdue.
+ */
 void ts_peers_number_frame(ts_peers_t *peers, const char *address, TsPeer__Frame *frame);
 /** Processes the numbers of a received frame; returns whether its sender wants an ack. */
 bool ts_peers_process_ack(ts_peers_t *peers, const TsPeer__Frame *frame);
-/** Number of frames sent to a peer so far. */
+/** Number of the last frame sent to a peer; 0: none. */
 uint32_t ts_peers_frames_sent(ts_peers_t *peers, const char *address);
 void ts_peers_send_ack(ts_peers_t *peers, const char *address);
 /** Sends a frame that requests an acknowledgement. */
@@ -111,7 +117,7 @@
 
 // -- peers_rates.c
 void ts_peers_handle_rate(ts_peers_t *peers, const TsPeer__Frame *frame);
-/** Updates the limiter and contact detection after a change of the view. */
+/** Updates contact detection and, if the live members changed, the limiter after a view change. */
 void ts_peers_update_homes(ts_peers_t *peers);
 /** Notifies the limiter when this node becomes able or unable to be home of accounts. */
 void ts_peers_update_home_eligibility(ts_peers_t *peers);
--- a/src/peers/peers_loans.c
+++ b/src/peers/peers_loans.c
@@ -5,11 +5,12 @@
 
 /* Number of nodes that a loan is requested from at once. */
 #define LOAN_FANOUT 2U
-/* Minimum interval between the requests of a service. */
+/* Minimum interval between this node's loan requests for a service. */
 #define LOAN_INTERVAL_US (20 * TS_US_PER_MS)
 /* Maximum number of sends (retries or hedges) lent per request. */
 #define LOAN_GRANT_MAX 2U
 
+/* `granted`: number of sends lent; 0: requests a loan. */
 static void send_loan(ts_peers_t *peers, const char *address, const char *service, uint32_t granted)
 {
     TsPeer__Loan loan = TS_PEER__LOAN__INIT;
--- a/src/peers/peers_quarantine.c
+++ b/src/peers/peers_quarantine.c
@@ -3,7 +3,8 @@
  * zone, from where they are forwarded down the zone's tree; each node forwards only rows that
  * changed its own table. Lost rows are repaired by anti-entropy: once a second, each node that has
  * suspects or quarantined requests, or has just started, sends the checksum of its quarantined
- * requests to a random node, and if the checksums differ both send their rows.
+ * requests to a random node of its zone; a zone head, and a node alone in its zone, also sends it
+ * to a random head of another zone. If the checksums differ, both nodes send their rows.
  */
 #include <string.h>
 
@@ -20,6 +21,7 @@
 #define STARTUP_US (5 * TS_US_PER_S)
 /* Suspects sent along with the quarantined requests when checksums differ; about 60 bytes each. */
 #define SUSPECTS_SENT_MAX 64U
+/* Maximum number of rows in a frame, and of changed rows that wait to be sent. */
 #define ROWS_MAX 2048U
 
 struct ts_peers_quarantine {
@@ -34,6 +36,7 @@
     GHashTable *wanted; /* digests to include; NULL: all */
 } row_list_t;
 
+/* Returns whether further rows fit. */
 static bool append_row(void *ctx, const ts_quarantine_row_t *row)
 {
     row_list_t *list = ctx;
@@ -127,7 +130,7 @@
     ts_peers_t *peers = ctx;
     ts_peers_quarantine_t *own = peers->quarantine;
     if (g_hash_table_size(own->unsent) >= ROWS_MAX)
-        return; // the next comparison transfers quarantined requests
+        return; // a comparison will transfer the row if its request is quarantined
     g_hash_table_add(own->unsent, g_memdup2(&row->digest, sizeof(row->digest)));
     if (!uv_is_active((uv_handle_t *)&own->timer))
         uv_timer_start(&own->timer, send_changes, BATCH_MS, 0);
--- a/src/peers/peers_rates.c
+++ b/src/peers/peers_rates.c
@@ -67,9 +67,9 @@
 {
     const ts_view_member_t *home = find_highest_weight(peers, account, NULL);
     bool is_certain = home != NULL && has_majority_view(peers);
+    // Until the limiter was notified that this node is eligible again, the flag remains set.
     if (is_certain && home->is_self)
-        is_certain =
-            !peers->is_home_ineligible && can_be_home(peers); // after notifying the limiter
+        is_certain = !peers->is_home_ineligible && can_be_home(peers);
     return is_certain ? resolve_issuer(home, address) : TS_RATE_ISSUER_NONE;
 }
 
--- a/src/peers/peers_sightings.c
+++ b/src/peers/peers_sightings.c
@@ -3,7 +3,7 @@
 
 #include "peers_internal.h"
 
-/* Number of nodes of the zone that receive a sighting. */
+/* Maximum number of nodes of a zone to which a node sends a sighting. */
 #define SIGHTING_FANOUT 16U
 
 /* Sends to at most SIGHTING_FANOUT nodes of this zone, chosen at random. */
@@ -27,7 +27,7 @@
     send_to_random_nodes(peers, &frame);
 }
 
-/* Sends to one random node of each other zone of the region, which relays to its own zone. */
+/* Sends to one random node of each other zone of the region, which relays to nodes of its own. */
 static void send_to_region(ts_peers_t *peers, TsPeer__Sighting *sighting)
 {
     const ts_gateway_t *gateway = peers->gateway;
--- a/src/peers/peers_store.c
+++ b/src/peers/peers_store.c
@@ -4,10 +4,10 @@
 #include "peers_internal.h"
 #include "tealspar/counters.h"
 
-/* If its position was last confirmed as the newest longer ago than this, a node watches the
- * configuration service itself. */
+/* A node watches the configuration service itself if the last confirmation that its position is the
+ * newest is older than this. */
 #define CONFIRMED_MAX_US (1500 * TS_US_PER_MS)
-/* While a pull is outstanding, pull_from sends no other one for this long. */
+/* pull_from sends no other pull for this long after the last one, unless changes arrive before. */
 #define PULL_TIMEOUT_US (300 * TS_US_PER_MS)
 /*
  * A newer version announced by a node of another zone usually arrives from this zone's watcher. It
@@ -138,7 +138,8 @@
            ts_clock_now_us() - peers->gateway->opened_us > BOOTSTRAP_DELAY_US;
 }
 
-/* Sends a beacon to this node's children if there is something new since the last one. */
+/* Sends a beacon to this node's children if, since the last one, the position has advanced or its
+ * confirmation time by more than BEACON_MIN_ADVANCE_US. Not on the watcher: it sends regularly. */
 static void send_beacon_if_advanced(ts_peers_t *peers)
 {
     ts_time_us_t confirmed_us = ts_store_mirror_confirmed_us(peers->mirror);
@@ -239,13 +240,13 @@
 {
     ts_peers_t *peers = context;
     const ts_traffic_t *traffic = peers->gateway->traffic;
-    bool is_primed = ts_store_mirror_is_loaded(peers->mirror);
+    bool is_loaded = ts_store_mirror_is_loaded(peers->mirror);
     if (traffic != NULL && version <= traffic->version)
         return;
     bool is_same_zone = ts_peers_distance(peers, address) == TS_DISTANCE_SAME_ZONE;
-    if (!is_primed || is_same_zone || note_announced_version(peers, version))
+    if (!is_loaded || is_same_zone || note_announced_version(peers, version))
         pull_from(peers, address,
-                  is_primed ? ts_store_mirror_position(peers->mirror) : position_zero);
+                  is_loaded ? ts_store_mirror_position(peers->mirror) : position_zero);
 }
 
 /* -- Watcher role and pulls from random peers -------------------------------------------------- */
@@ -304,8 +305,8 @@
     const ts_view_member_t *member = choose_pull_target(peers);
     if (member != NULL) {
         peers->random_pull_us = now_us;
-        bool is_primed = ts_store_mirror_is_loaded(peers->mirror);
+        bool is_loaded = ts_store_mirror_is_loaded(peers->mirror);
         send_pull(peers, member->address,
-                  is_primed ? ts_store_mirror_position(peers->mirror) : position_zero);
+                  is_loaded ? ts_store_mirror_position(peers->mirror) : position_zero);
     }
 }
--- a/src/registry/instance_health.c
+++ b/src/registry/instance_health.c
@@ -6,7 +6,8 @@
 #include "tealspar/mechanism.h"
 #include "tealspar/registry.h"
 
-/* A node that sends an instance more requests/s than this does not report its suspicions. */
+/* A node does not report its suspicions of an instance to which it sends this many requests/s or
+ * more; see should_report. */
 #define REPORT_RATE_MAX 40.0
 /* Half-life of `sent_rate`, and the addition per request. */
 #define RATE_HALF_LIFE_US ((double)TS_US_PER_S)
@@ -20,8 +21,10 @@
  */
 #define OVERLOADED_RATIO 2.5
 #define RELAXED_RATIO 1.8
+/* Factor applied after a slow answer; after a refused request or a rejected connection. */
 #define LIMIT_DECREASE 0.85
 #define LIMIT_DECREASE_REFUSED 0.7
+/* Requests in flight by which the limit is raised per answer. */
 #define LIMIT_INCREASE 0.25
 #define LIMIT_MIN 1.0
 #define LIMIT_MAX 1000.0
@@ -32,7 +35,8 @@
 #define QUEUE_FULL_RATIO 1.5
 /* How long an answer in normal time is taken as a sign that the instance's queue is not full. */
 #define NORMAL_ANSWER_VALID_US (1000 * TS_US_PER_MS)
-/* Time without requests to an instance after a failure; doubles with each consecutive one. */
+/* Time for which an instance is avoided after a failure; doubles with each consecutive failure, up
+ * to the maximum. */
 #define AVOID_FIRST_US (300 * TS_US_PER_MS)
 #define AVOID_MAX_US (2 * TS_US_PER_S)
 /* The same after a refused request or a rejected connection. */
@@ -157,7 +161,7 @@
                                  double typical_us)
 {
     if (typical_us <= 0 || !ts_evidence_is_slow(span_us / typical_us))
-        return false; // it may still arrive in time
+        return false; // the answer may still arrive in normal time
     add_latency(instance, span_us / typical_us, now_us);
     return true;
 }
--- a/tests/peers/test_peer_link.c
+++ b/tests/peers/test_peer_link.c
@@ -75,12 +75,12 @@
     g_free(unused);
 }
 
-static unsigned losses;
+static unsigned disconnects;
 
-static void note_lost(void *context, const char *address)
+static void count_disconnect(void *context, const char *address)
 {
     assert_string_equal(address, context);
-    losses++;
+    disconnects++;
 }
 
 /* The end of a connection is reported, unless this side closed it. */
@@ -93,22 +93,22 @@
     ts_peer_link_t *link = ts_peer_link_open(&loop, local, count_hello, remote);
     ts_peer_link_t *other = ts_peer_link_open(&loop, remote, count_hello, NULL);
     assert_non_null(other);
-    ts_peer_link_set_disconnect_callback(link, note_lost);
+    ts_peer_link_set_disconnect_callback(link, count_disconnect);
     received = 0;
-    losses = 0;
+    disconnects = 0;
     ts_peer_link_send(link, remote, (const uint8_t *)"hello", 5);
     for (int i = 0; i < WAIT_MS / 10 && received == 0; i++)
         run_ms(&loop, 10);
     ts_peer_link_reset(link, remote);
     run_ms(&loop, 50);
-    assert_int_equal(losses, 0);
+    assert_int_equal(disconnects, 0);
     ts_peer_link_send(link, remote, (const uint8_t *)"hello", 5);
     for (int i = 0; i < WAIT_MS / 10 && received == 1; i++)
         run_ms(&loop, 10);
     ts_peer_link_close(other);
-    for (int i = 0; i < WAIT_MS / 10 && losses == 0; i++)
+    for (int i = 0; i < WAIT_MS / 10 && disconnects == 0; i++)
         run_ms(&loop, 10);
-    assert_int_equal(losses, 1);
+    assert_int_equal(disconnects, 1);
     g_free(local);
     g_free(remote);
 }
--- a/tests/registry/test_lives.c
+++ b/tests/registry/test_lives.c
@@ -104,7 +104,7 @@
     ++*(unsigned *)instances;
 }
 
-/* A replaced instance is kept exactly as long as something refers to it. */
+/* A replaced instance is kept while something refers to it; afterwards a sweep frees it. */
 static void test_replaced_instances_are_freed(void **state)
 {
     ts_registry_t *registry = ts_registry_create("z1", NULL);
@@ -127,10 +127,10 @@
 /* Ids are sent in a header field of each request, so they must be valid there. */
 static void test_invalid_records_are_rejected(void **state)
 {
-    char longest[300];
-    memset(longest, 'i', sizeof(longest));
-    longest[299] = '\0';
-    const char *const ids[] = {"", "a b", "a\r\nX: y", "i-\xc3\xa4", longest};
+    char too_long[300];
+    memset(too_long, 'i', sizeof(too_long));
+    too_long[299] = '\0';
+    const char *const ids[] = {"", "a b", "a\r\nX: y", "i-\xc3\xa4", too_long};
     for (size_t i = 0; i < G_N_ELEMENTS(ids); i++) {
         ts_instance_record_t record = {
             .id = (char *)ids[i], .service = "s", .address = "10.0.0.1:80", .zone = "z1"};
