--- a/include/tealspar/directory.h
+++ b/include/tealspar/directory.h
@@ -15,14 +15,15 @@
  */
 typedef struct ts_replica {
     uint64_t id;
-    uint32_t in_flight;    /**< subrequests from this front */
-    uint32_t slots_in_use; /**< reported by its owner in the last reply; 0 after TS_E_PEER_LOST */
-    uint32_t queue_length; /**< the same */
-    ts_time_us_t load_updated_us;    /**< when slots_in_use and queue_length were set; 0: never */
-    double service_us;               /**< moving average; 0: unknown */
-    uint64_t snapshot;               /**< index version of the last reply; 0: unknown */
-    ts_time_us_t avoid_until_us;     /**< avoided until then; 0: not avoided */
-    uint32_t failures;               /**< consecutive */
+    uint32_t in_flight;           /**< subrequests from this front */
+    uint32_t slots_in_use;        /**< reported in the last reply; 0 if it carried no load, as after
+                                     TS_E_PEER_LOST */
+    uint32_t queue_length;        /**< waiting requests; reported as slots_in_use */
+    ts_time_us_t load_updated_us; /**< when slots_in_use and queue_length were set; 0: never */
+    double service_us;            /**< moving average; 0: unknown */
+    uint64_t snapshot;            /**< index version of the last successful reply; 0: unknown */
+    ts_time_us_t avoid_until_us;  /**< avoided until then; 0: not avoided */
+    uint32_t failures;            /**< consecutive ones caused by the backend or its owner */
     ts_time_us_t service_updated_us; /**< when service_us was last updated */
     uint64_t owner_view_count;       /**< the directory's count of views when `owner` was set */
     const ts_view_member_t *owner;   /**< NULL: none; points into the view */
@@ -57,24 +58,28 @@
  */
 void ts_directory_record_cancelled(ts_directory_t *directory, ts_replica_t *replica,
                                    ts_time_us_t age_us, ts_time_us_t now_us);
-/** A subrequest was sent to `peer`, which may be TS_PEER_SELF; it is outstanding until its end. */
+/** Counts a subrequest sent to `peer` (TS_PEER_SELF: this node) as outstanding until
+ * ts_directory_note_ended(). */
 void ts_directory_note_sent(ts_directory_t *directory, uint64_t peer, ts_time_us_t now_us);
-/** A reply arrived: the peer is not silent. The end of the subrequest is noted separately. */
+/** Marks the peer as not silent, as a reply arrived. Does not change the outstanding subrequests.
+ */
 void ts_directory_note_reply(ts_directory_t *directory, uint64_t peer);
-/** A subrequest is no longer outstanding: replied to, failed or cancelled. */
+/** Removes a subrequest that was replied to, failed or cancelled from the outstanding ones. */
 void ts_directory_note_ended(ts_directory_t *directory, uint64_t peer);
 /**
- * Peers that have become silent since the last call: several subrequests are outstanding
- * (SILENT_OUTSTANDING_MIN), and `timeout_us` has passed without a reply since the first one that
- * was sent after the last reply. Returns an array of uint64_t, freed by the caller.
+ * Marks and returns the peers that have become silent since the last call: several subrequests are
+ * outstanding (SILENT_OUTSTANDING_MIN), and `timeout_us` has passed without a reply since the first
+ * one that was sent after the last reply. May include TS_PEER_SELF. Returns an array of uint64_t
+ * ids, freed by the caller.
  */
 GArray *ts_directory_find_silent_peers(ts_directory_t *directory, ts_time_us_t timeout_us,
                                        ts_time_us_t now_us);
 /**
  * Fills in a candidate except its field `backend`; `tried` is set to false. `avoid` is set while
- * failures require it, or if the owner is a silent peer. Once per SILENT_PROBE_INTERVAL_US a call
- * disregards the silence, so that a subrequest can find out whether the owner replies again; that
- * call also schedules the next probe, even if the candidate is not selected.
+ * failures require it, or if the owner is a silent peer other than this node. Once per
+ * SILENT_PROBE_INTERVAL_US a call disregards the silence, so that a subrequest can find out whether
+ * the owner replies again; that call also schedules the next probe, even if the candidate is not
+ * selected.
  */
 void ts_directory_fill_candidate(ts_directory_t *directory, const ts_backend_t *backend,
                                  ts_time_us_t now_us, ts_candidate_t *candidate);
--- a/include/tealspar/idempotency.h
+++ b/include/tealspar/idempotency.h
@@ -14,13 +14,13 @@
     TS_IDEMPOTENCY_RUN,     /**< new id: to be dispatched, and now marked as dispatched */
     TS_IDEMPOTENCY_REPLAY,  /**< finished: the stored outcome is the answer */
     TS_IDEMPOTENCY_UNKNOWN, /**< dispatched, outcome not known */
-    TS_IDEMPOTENCY_REUSED   /**< the id belongs to a different request */
+    TS_IDEMPOTENCY_REUSED   /**< the id belongs to a request with another kind, key or text */
 } ts_idempotency_decision_t;
 
 /** Entries are retained for `retention_us` after their last change; then the id counts as new. */
 ts_idempotency_t *ts_idempotency_create(ts_time_us_t retention_us);
 void ts_idempotency_destroy(ts_idempotency_t *table);
-/** Decides on a request and, for RUN, marks its id as dispatched. */
+/** Decides on a request and, for TS_IDEMPOTENCY_RUN, marks its id as dispatched. */
 ts_idempotency_decision_t ts_idempotency_admit(ts_idempotency_t *table,
                                                const ts_query_params_t *work, ts_time_us_t now_us);
 /** Removes the id of a dispatch that was certainly not executed; it may be dispatched again. */
--- a/include/tealspar/query-t.h
+++ b/include/tealspar/query-t.h
@@ -18,7 +18,7 @@
     char *kind;
     char *text;
     char *key;
-    uint32_t offset;
+    uint32_t offset;      /**< hits to skip */
     uint32_t limit;       /**< hits wanted, after `offset` */
     uint32_t deadline_ms; /**< 0: the selector's deadline */
     bool unrepeatable;    /**< must be executed at most once */
@@ -44,8 +44,8 @@
 /** Coverage of one group of shards. */
 typedef struct ts_group_coverage {
     const char *group;
-    uint32_t shards;
-    uint32_t covered;
+    uint32_t shards;  /**< shards queried */
+    uint32_t covered; /**< shards that answered from the chosen snapshot */
 } ts_group_coverage_t;
 
 /** Answer to a caller. Valid during the callback only. */
@@ -78,11 +78,11 @@
 
 /** One subrequest in flight. */
 typedef struct ts_attempt {
-    uint64_t counter; /**< id of the subrequest, as ts_subrequest_t.counter */
-    uint64_t peer;    /**< node that it was sent to; TS_PEER_SELF: this one */
-    ts_query_t *query;
+    uint64_t counter;        /**< id of the subrequest, as ts_subrequest_t.counter */
+    uint64_t peer;           /**< node that it was sent to; TS_PEER_SELF: this one */
+    ts_query_t *query;       /**< not owned */
     uint32_t fragment_index; /**< into the query's fragments */
-    ts_replica_t *replica;
+    ts_replica_t *replica;   /**< record in the directory */
     ts_time_us_t sent_us;
     uint64_t wanted_snapshot; /**< preferred index version; 0: any */
     uint32_t replica_index;   /**< into the fragment's replicas */
@@ -95,7 +95,7 @@
     uint32_t shard;           /**< index into the declarations' shards */
     const uint32_t *replicas; /**< indexes into the declarations' backends: allowed by selector */
     uint32_t replica_count;
-    uint64_t tried; /**< bit per replica: an attempt was sent to it */
+    uint64_t tried; /**< bit per index into `replicas`: an attempt was sent to it */
     ts_attempt_t *attempts[TS_ATTEMPTS_MAX];
     uint32_t attempts_in_flight; /**< entries used in `attempts` */
     uint32_t attempts_made;      /**< in all, including ended ones */
@@ -103,8 +103,8 @@
     bool is_hedge_attempted; /**< a hedge was sent, denied by the budget, or had no replica */
     bool may_have_run;       /**< some attempt may have been executed */
     ts_time_us_t retry_at_us;
-    ts_error_t error;                            /**< of the last failure */
-    uint32_t retry_after_ms;                     /**< largest of all failures */
+    ts_error_t error;                            /**< of the last failure; TS_OK: none */
+    uint32_t retry_after_ms;                     /**< largest of all failures; 0: no advice */
     ts_subreply_t answers[TS_SHARD_ANSWERS_MAX]; /**< of different snapshots */
     uint32_t answers_count;
     /** Snapshots that a replica was asked for but did not answer from; 0: unused. */
--- a/src/broker/broker_internal.h
+++ b/src/broker/broker_internal.h
@@ -15,10 +15,10 @@
     ts_owned_backend_t *owned; /**< NULL: the backend is not owned here */
     uint64_t peer;             /**< node that sent it and gets the reply; TS_PEER_SELF: this one */
     ts_subrequest_t part;
-    ts_query_params_t *work;
+    ts_query_params_t *work;  /**< of the query; referenced until the job is freed */
     ts_searcher_call_t *call; /**< NULL while waiting */
     ts_time_us_t received_us;
-    ts_time_us_t started_us; /**< when it was sent to the searcher */
+    ts_time_us_t started_us; /**< when it was sent to the searcher; 0: not sent */
 } ts_job_t;
 
 /** State of a backend as known to its owner. */
@@ -72,8 +72,9 @@
     ts_timer_t tick_timer;
     ts_timer_t handover_timer;   /**< releases all backends HANDOVER_MS after the stop */
     ts_time_us_t last_run_us;    /**< when the broker last ran, to detect stalls */
-    ts_time_us_t fence_until_us; /**< after a stall; no unrepeatable dispatch before */
-    /** Wall clock; other nodes may have owned the same backends before. */
+    ts_time_us_t fence_until_us; /**< after a stall: no unrepeatable dispatch until then */
+    /** Wall clock; before this time other nodes may have owned the same backends. 0: not set yet.
+     */
     int64_t exclusive_since_ms;
     uint64_t ownership_epoch; /**< of the latest view */
     bool is_stopping;
@@ -85,7 +86,7 @@
 ts_owned_backend_t *ts_owned_create(ts_broker_t *broker, const ts_backend_t *backend);
 /** Closes and frees a backend without running jobs. */
 void ts_owned_free(ts_owned_backend_t *owned);
-/** The only place that changes the state. Does nothing once retired. */
+/** Changes the state; all changes go through this function. Does nothing once retired. */
 void ts_owned_set_state(ts_owned_backend_t *owned, ts_owned_state_t state);
 /** After a process stall: starts no job until the health has been checked. Does nothing if retired.
  */
@@ -94,7 +95,7 @@
 void ts_owned_submit(ts_owned_backend_t *owned, ts_job_t *job);
 /**
  * Cancels and frees a running or waiting job without a reply; its slot is free at once. A running
- * unrepeatable job is not cancelled: its outcome is kept for a repeat.
+ * unrepeatable job is not cancelled: its outcome is stored for a repeat of the id.
  */
 void ts_owned_cancel(ts_job_t *job);
 /** Refuses and frees every waiting job. */
--- a/src/broker/owned.c
+++ b/src/broker/owned.c
@@ -91,6 +91,7 @@
     return NULL;
 }
 
+/* Number of running jobs of a kind. */
 static uint32_t count_kind(const ts_owned_backend_t *owned, const char *kind)
 {
     uint32_t count = 0;
@@ -110,6 +111,7 @@
 
 static void run_next(ts_owned_backend_t *owned);
 
+/* Records the service time of a successful request and allows one more slot, up to `slots`. */
 static void update_service_time(ts_owned_backend_t *owned, const ts_subreply_t *subreply)
 {
     double service = subreply->service_us;
@@ -121,6 +123,7 @@
     owned->slots_allowed = MIN(owned->slots_allowed + 1, owned->slots);
 }
 
+/* Updates service time, usable slots and state of a backend by the outcome of a request. */
 static void apply_outcome(ts_owned_backend_t *owned, const ts_subreply_t *subreply)
 {
     switch (subreply->error) {
@@ -172,7 +175,7 @@
         job->part.wanted_snapshot, time_left_us(job, job->started_us), handle_result, job);
 }
 
-/* The highest-ranked waiting job that may use a slot now, or NULL. */
+/* The waiting job of the highest ts_admission_rank() that may use a slot now, or NULL. */
 static ts_job_t *choose_waiting(const ts_owned_backend_t *owned, ts_time_us_t now_us)
 {
     ts_job_t *best = NULL;
@@ -300,7 +303,8 @@
 
 /* ---- cancellation, deadlines and health ---- */
 
-/* Removes a job from its slot or from the queue, without a reply. */
+/* Cancels the call of a running job and frees its slot, or removes a waiting job from the queue.
+   Neither replies to the job nor frees it. */
 static void detach_job(ts_job_t *job)
 {
     ts_owned_backend_t *owned = job->owned;
--- a/src/front/caller_http.c
+++ b/src/front/caller_http.c
@@ -85,8 +85,8 @@
     g_free(caller_request);
 }
 
-/* Takes the id from the body, else from the header; else generates one, so that log lines and
-   journals can be matched. */
+/* Sets the id if the body has none: from the header or else generated, so that log lines and
+   journals can be matched. A generated id is issued now, unless the body gives a time. */
 static void ensure_id(ts_http_exchange_t *exchange, ts_query_request_t *request)
 {
     char id[REQUEST_ID_SIZE];
@@ -101,7 +101,7 @@
     }
     request->id = g_uuid_string_random();
     if (request->issued_at_ms == 0) {
-        request->issued_at_ms = ts_clock_wall_ms(); /* the id is generated now */
+        request->issued_at_ms = ts_clock_wall_ms();
     }
 }
 
@@ -111,7 +111,7 @@
     caller_request->exchange = exchange;
     ensure_id(exchange, request);
     ts_query_t *query = ts_front_submit(front_instance, request, on_answer, caller_request);
-    if (query != NULL) {
+    if (query != NULL) { /* else on_answer() has freed `caller_request` */
         caller_request->query = query;
         ts_http_set_abandoned_callback(exchange, on_disconnect, caller_request);
     }
--- a/src/front/caller_json.c
+++ b/src/front/caller_json.c
@@ -85,7 +85,7 @@
     return NULL;
 }
 
-/* Returns NULL or the problem. */
+/* Returns NULL, or what is wrong with the field as a static string. */
 static const char *read_field(const field_t *field, const json_t *value,
                               ts_query_request_t *request)
 {
--- a/src/front/directory.c
+++ b/src/front/directory.c
@@ -17,12 +17,12 @@
 #define SILENT_PROBE_INTERVAL_US (250ULL * TS_US_PER_MS)
 #define SILENT_OUTSTANDING_MIN 3U
 
-/* Subrequests outstanding at another node. */
+/* Subrequests outstanding at a node; id TS_PEER_SELF: this one. */
 typedef struct peer_record {
     uint64_t id;
     uint32_t outstanding;             /* subrequests not ended yet */
-    ts_time_us_t unanswered_since_us; /* first send after its last reply; 0: none sent */
-    ts_time_us_t next_probe_us;       /* while silent */
+    ts_time_us_t unanswered_since_us; /* first send after its last reply; 0: no send since */
+    ts_time_us_t next_probe_us;       /* when a silent peer may be tried again; unused otherwise */
     bool is_silent;
 } peer_record_t;
 
--- a/src/front/dispatch.c
+++ b/src/front/dispatch.c
@@ -1,12 +1,12 @@
-/** Sends attempts; parts for the same owner go in one message. */
+/** Sends attempts; subrequests to the same owner go in one message. */
 #include <string.h>
 
 #include "front_internal.h"
 #include "tealspar/counters.h"
 
 typedef struct owner_batch {
-    uint64_t peer;
-    GArray *parts;
+    uint64_t peer; /* the owner; TS_PEER_SELF: this node */
+    GArray *parts; /* of ts_subrequest_t */
 } owner_batch_t;
 
 struct ts_dispatch {
@@ -24,6 +24,7 @@
     return dispatch;
 }
 
+/* The subrequests to a peer; the batch is created on first use. */
 static GArray *ensure_batch(ts_dispatch_t *dispatch, uint64_t peer)
 {
     for (guint i = 0; i < dispatch->batches->len; i++) {
@@ -37,6 +38,7 @@
     return batch.parts;
 }
 
+/* Creates an attempt, adds it to the front's table and counts it at its replica and its peer. */
 static ts_attempt_t *create_attempt(ts_dispatch_t *dispatch, uint32_t fragment_index,
                                     ts_replica_t *replica, uint64_t peer)
 {
--- a/src/front/front.c
+++ b/src/front/front.c
@@ -19,7 +19,7 @@
 /*
  * A node is silent if it has several subrequests outstanding and has not replied for a multiple of
  * a latency quantile. Attempts at it fail, except unrepeatable ones, and it is avoided until it
- * replies again.
+ * replies again, except for periodic probes. This node itself is never avoided.
  */
 #define SILENCE_TIMEOUT_MIN_US (60ULL * TS_US_PER_MS)
 #define SILENCE_TIMEOUT_DEFAULT_US (500ULL * TS_US_PER_MS)
@@ -233,8 +233,8 @@
 
 /*
  * Time without a reply after which a node is silent: well above the measured latencies of every
- * kind, so that a node with slow searchers is not considered silent. Long while a kind has too few
- * samples.
+ * kind, so that a node with slow searchers is not considered silent. At least
+ * SILENCE_TIMEOUT_DEFAULT_US while some kind has fewer than SILENCE_SAMPLES_MIN samples.
  */
 static ts_time_us_t silence_timeout_us(const ts_front_t *front)
 {
--- a/src/front/front_internal.h
+++ b/src/front/front_internal.h
@@ -12,8 +12,8 @@
     /** Latencies of answered subrequests and ages of cancelled ones that are not hedges. Old
      * samples decay. */
     ts_histogram_t latencies;
-    ts_budget_t hedges;
-    ts_budget_t retries;
+    ts_budget_t hedges;   /**< credited with the selector's hedge_percent per fragment */
+    ts_budget_t retries;  /**< credited with the selector's retry_percent per fragment */
     ts_shedder_t shedder; /**< admission before fan-out */
 } ts_kind_stats_t;
 
@@ -60,7 +60,7 @@
 ts_kind_stats_t *ts_front_ensure_kind_stats(ts_front_t *front, const char *kind);
 /** Sends a cancellation to the broker of a node; `peer` may be TS_PEER_SELF. */
 void ts_front_send_cancel(const ts_front_t *front, uint64_t peer, uint64_t counter);
-/** Checks for silent peers periodically until no attempts are in flight. */
+/** Checks for silent peers periodically until no attempts are in flight. No effect if started. */
 void ts_front_start_silence_check(ts_front_t *front);
 /** Fresh random bits. */
 uint64_t ts_front_next_random(ts_front_t *front);
@@ -93,11 +93,12 @@
  */
 ts_error_t ts_dispatch_add(ts_dispatch_t *dispatch, uint32_t fragment_index, uint32_t replica_index,
                            uint64_t wanted_snapshot, bool is_hedge);
-/** Sends the parts, one message per owner, and frees the dispatch. */
+/** Sends the subrequests, one message per owner, and frees the dispatch. */
 void ts_dispatch_send(ts_dispatch_t *dispatch);
 /**
  * Ends and frees an attempt. With `cancel` it is cancelled at its peer, and its age is recorded as
- * a lower bound of its latency.
+ * a lower bound of its latency. Without `cancel` nothing is sent and no
+ * latency recorded.
  */
 void ts_attempt_end(ts_attempt_t *attempt, bool cancel);
 
--- a/src/front/merge.c
+++ b/src/front/merge.c
@@ -25,7 +25,8 @@
     return NULL;
 }
 
-/* Coverage by group, counting the answers from this snapshot. */
+/* Sets the coverage of `answer`, in total and by group, by the answers from a snapshot (0: none).
+   Returns the array behind `answer->groups`, to be freed after the callback. */
 static GArray *count_coverage(const ts_query_t *query, uint64_t snapshot, ts_answer_t *answer)
 {
     GArray *groups = g_array_new(FALSE, TRUE, sizeof(ts_group_coverage_t));
@@ -51,7 +52,8 @@
     return groups;
 }
 
-/* Hits of a snapshot by descending score; the strings still belong to the fragments. */
+/* Hits of a snapshot by descending score, then by id; the strings still belong to the fragments.
+   Adds the number of all hits to `total`. */
 static GArray *collect_hits(const ts_query_t *query, uint64_t snapshot, uint64_t *total)
 {
     GArray *hits = g_array_new(FALSE, FALSE, sizeof(ts_hit_t));
--- a/src/front/query.c
+++ b/src/front/query.c
@@ -145,13 +145,15 @@
     return query->front->policy->choose(&input);
 }
 
+/* Ends the retries of a fragment. It stays answered if it has an answer from any snapshot. */
 static void fail_fragment(ts_fragment_t *fragment, ts_error_t error)
 {
     fragment->error = error;
     fragment->state = fragment->answers_count > 0 ? TS_FRAGMENT_ANSWERED : TS_FRAGMENT_FAILED;
 }
 
-/* Sends one attempt for a fragment. If none can be sent, the fragment fails; a hedge is dropped. */
+/* Adds an attempt for a fragment to `dispatch`. If no replica can be used, the fragment fails,
+   unless the attempt is a hedge, which is dropped. */
 static void send_fragment(ts_dispatch_t *dispatch, ts_query_t *query, uint32_t index,
                           uint64_t wanted_snapshot, bool is_hedge)
 {
@@ -263,6 +265,7 @@
     return NULL;
 }
 
+/* Whether some replica may have executed the query or an attempt is still in flight. */
 static bool may_have_run(const ts_query_t *query)
 {
     for (uint32_t i = 0; i < query->fragment_count; i++) {
@@ -383,6 +386,7 @@
 
 /* ---- replies ---- */
 
+/* Moves a reply into the fragment's answers, unless they are full or one has the same snapshot. */
 static void store_answer(ts_fragment_t *fragment, ts_subreply_t *subreply)
 {
     if (has_answer(fragment, subreply->snapshot) ||
@@ -394,6 +398,8 @@
     subreply->hits_count = 0;
 }
 
+/* Records that a replica was asked for a snapshot but answered from another one. Keeps the first
+   and the latest such snapshot. */
 static void record_denied_snapshot(ts_fragment_t *fragment, uint64_t wanted, uint64_t provided)
 {
     if (wanted == 0 || wanted == provided) {
@@ -406,6 +412,7 @@
     }
 }
 
+/* Stores a successful reply and cancels the fragment's other attempts. */
 static void handle_answer(ts_query_t *query, ts_fragment_t *fragment, ts_subreply_t *subreply,
                           ts_time_us_t latency_us, uint64_t wanted)
 {
@@ -480,6 +487,7 @@
 
 /* ---- start ---- */
 
+/* `reach_index` is an index into the selector's `reach`. */
 static void plan_fragment(ts_query_t *query, uint32_t index, uint32_t reach_index)
 {
     const ts_selector_t *selector = query->selector;
--- a/src/front/query_log.c
+++ b/src/front/query_log.c
@@ -21,7 +21,8 @@
     return failed;
 }
 
-/* Writes the name of a node, or its id if it is no longer in the view. */
+/* Writes the name of a node to `name` (NAME_SIZE bytes): "self" for TS_PEER_SELF, and its id if it
+   is not in the view. */
 static void name_node(const ts_query_t *query, uint64_t peer, char *name)
 {
     const ts_view_t *view = ts_directory_view(query->front->directory);
--- a/tests/front/test_planned_stop.c
+++ b/tests/front/test_planned_stop.c
@@ -130,21 +130,23 @@
 }
 
 // A planned stop must not cause outcome "unknown". This happened in rolling stops under load: the
-// owner ended while fronts that did not know of its leaving were still sending to it.
+// owner ended while fronts that did not know of its stop were still sending to it.
 static void test_planned_stop_has_no_unknown_outcome(void **state)
 {
     static const load_t load = {0.3, 0.2, DENSE_INTERVAL_US, 5};
     check_stops(&load);
 }
 
-// The same with messages that take up to 120 ms, as on machines with saturated CPUs.
+// As test_planned_stop_has_no_unknown_outcome, with messages that take up to 120 ms, as on machines
+// with saturated CPUs.
 static void test_planned_stop_on_slow_network_has_no_unknown_outcome(void **state)
 {
     static const load_t load = {5, 23, DENSE_INTERVAL_US, 10};
     check_stops(&load);
 }
 
-// The same with so few requests that a node that gets none may still be considered live.
+// As test_planned_stop_on_slow_network_has_no_unknown_outcome, with so few requests that a
+// node that gets none may still be considered live.
 static void test_planned_stop_with_few_requests_has_no_unknown_outcome(void **state)
 {
     static const load_t load = {5, 23, SPARSE_INTERVAL_US, 100};
