--- a/src/broker/searcher_http.c
+++ b/src/broker/searcher_http.c
@@ -105,6 +105,8 @@
     return is_draining ? TS_E_DRAINING : TS_E_SHEDDING;
 }
 
+/* Only a failed connect, a 404 and a 503 guarantee that the searcher has not executed the request.
+ */
 static void read_result(const ts_http_result_t *result, ts_subreply_t *subreply)
 {
     if (result->error != TS_OK) {
--- a/src/front/directory.c
+++ b/src/front/directory.c
@@ -30,7 +30,7 @@
     GHashTable *replicas;    /* &id -> ts_replica_t, owned */
     GHashTable *peers;       /* &id -> peer_record_t, owned */
     double mean_service_us;  /* moving average over all replicas */
-    double mean_overhead_us; /* moving average of network and queue time */
+    double mean_overhead_us; /* moving average of latency minus service time: network and queue */
     ts_view_t *view;
     const char *self_zone; /* points into the view */
     uint64_t view_count;   /* incremented with every view, to recompute owners */
