--- a/include/tealspar/dialect.h
+++ b/include/tealspar/dialect.h
@@ -21,7 +21,7 @@
     const char *not_executed;      /**< response: the request was not run */
     const char *signature;         /**< response: the backend's proof that it ran the request */
     const char *part_signatures;   /**< response merged from several shards: their signatures */
-    const char *missing_parts;     /**< such a response: number of shards that are missing in it */
+    const char *missing_parts;     /**< merged response: number of shards without a result in it */
     const char *retry_after;       /**< response that refuses a request: seconds until a retry */
     const char *authorization;     /**< request: the caller's credentials */
     const char *tenant;            /**< request to a backend: the tenant; a caller's is dropped */
--- a/include/tealspar/http_message.h
+++ b/include/tealspar/http_message.h
@@ -19,13 +19,13 @@
 typedef struct ts_http_field {
     uint32_t name;
     uint32_t value;
-    uint32_t value_length;
+    uint32_t value_length; /**< in bytes, without the NUL; 0: empty */
 } ts_http_field_t;
 
 typedef struct ts_http_message {
     http_parser parser;
     bool is_request;
-    bool is_response_to_head; /**< has no body; set by the user, kept by ts_http_message_reset() */
+    bool is_response_to_head; /**< no body; set by the owner, kept by ts_http_message_reset() */
     GString *target;          /**< request target as received */
     GString *text;            /**< names and values of the fields */
     GArray *fields;           /**< of ts_http_field_t */
@@ -58,8 +58,8 @@
  */
 size_t ts_http_message_feed(ts_http_message_t *message, const char *bytes, size_t length);
 /**
- * Handles the end of the stream: completes a response without a length; any other incomplete
- * message becomes invalid.
+ * Handles the end of the stream: completes a response whose body ends with the stream. Any other
+ * incomplete message becomes invalid, usually with TS_E_IO.
  */
 void ts_http_message_finish(ts_http_message_t *message);
 /** Value of the first field with this name (case-insensitive), or NULL. */
--- a/include/tealspar/instance_check.h
+++ b/include/tealspar/instance_check.h
@@ -1,6 +1,7 @@
 /**
- * Checks whether a backend accepts connections, by opening one and closing it again. The result is
- * recorded in the instance, see ts_instance_liveness().
+ * Checks whether an instance accepts TCP connections: opens one and closes it again. A successful
+ * and a refused connection are recorded in the instance (see ts_instance_liveness()); any other
+ * error or a timeout records nothing.
  */
 #ifndef TEALSPAR_INSTANCE_CHECK_H
 #define TEALSPAR_INSTANCE_CHECK_H
--- a/include/tealspar/line_writer.h
+++ b/include/tealspar/line_writer.h
@@ -1,7 +1,8 @@
 /**
  * Writes lines to a file descriptor without blocking. Lines and bytes per second and the size of
  * the buffer are limited, and the descriptor is written only while it is ready. Lines over a limit
- * are dropped and counted, see ts_line_writer_take_dropped().
+ * are dropped and counted, see ts_line_writer_take_dropped(). TS_LINE_SAMPLED lines beyond their
+ * sample rate are dropped without being counted there.
  */
 #ifndef TEALSPAR_LINE_WRITER_H
 #define TEALSPAR_LINE_WRITER_H
@@ -23,6 +24,7 @@
 
 /** Creates a writer to `descriptor`, limited to `lines_max` and `bytes_max` per second. */
 ts_line_writer_t *ts_line_writer_create(int descriptor, uint32_t lines_max, uint32_t bytes_max);
+/** Frees the writer. Unwritten lines are lost; the descriptor stays open. */
 void ts_line_writer_free(ts_line_writer_t *writer);
 /** Queues a line, given without a line end. Returns whether it was accepted. */
 bool ts_line_writer_add(ts_line_writer_t *writer, ts_line_priority_t priority, const char *line,
--- a/include/tealspar/outgoing.h
+++ b/include/tealspar/outgoing.h
@@ -26,10 +26,10 @@
     GString *head;            /**< request line and fields, without deadline and instance */
     GString *body;            /**< NULL: none */
     bool is_head_method;      /**< HEAD request: the response has no body */
-    bool is_repeatable;       /**< idempotent, so that it may be sent on any idle connection */
-    ts_time_us_t deadline_us; /**< no response is awaited after this time */
+    bool is_repeatable;       /**< idempotent: may be sent on a connection idle for long */
+    ts_time_us_t deadline_us; /**< each send carries the time left until this deadline */
     /* State of its sends, see tealspar/broken_sends.h. */
-    unsigned sends_in_flight; /**< including those whose response is no longer awaited */
+    unsigned sends_in_flight; /**< including those of released exchanges */
     bool has_completed;       /**< a backend has responded successfully */
     bool is_isolated;         /**< only one send at a time, as the request may crash backends */
     /* Input of the digest, which is computed on first use. */
@@ -52,7 +52,10 @@
                                    const ts_outgoing_options_t *options);
 ts_outgoing_t *ts_outgoing_ref(ts_outgoing_t *outgoing);
 void ts_outgoing_unref(ts_outgoing_t *outgoing);
-/** Digest of the request, computed on the first call: takes 1.1 us, 0.4 ms with a 64 kB body. */
+/**
+ * Digest of the request line, Host, tenant and body. The first call computes it, which takes
+ * 1.1 us, or 0.4 ms with a body of 64 kB.
+ */
 const ts_request_digest_t *ts_outgoing_digest(ts_outgoing_t *outgoing);
 
 #endif
--- a/include/tealspar/searcher_client.h
+++ b/include/tealspar/searcher_client.h
@@ -9,7 +9,7 @@
 #include "tealspar/node.h"
 
 typedef struct ts_searcher ts_searcher_t;           /**< a backend with its connections */
-typedef struct ts_searcher_call ts_searcher_call_t; /**< a request to it */
+typedef struct ts_searcher_call ts_searcher_call_t; /**< a request to a searcher */
 
 /** Health as reported by the searcher; may be out of date. */
 typedef enum ts_searcher_health {
--- a/include/tealspar/upstream.h
+++ b/include/tealspar/upstream.h
@@ -24,12 +24,15 @@
 typedef struct ts_exchange_result {
     ts_error_t error;                /**< TS_OK: `answer` is complete, with any status code */
     ts_execution_t run;              /**< whether the instance ran the request */
-    const ts_http_message_t *answer; /**< valid during the call; NULL on an error */
-    ts_time_us_t span_us;            /**< time since the request was sent; 0: it was not sent */
-    bool has_invalid_times;          /**< `span_us` includes a stall of this process */
+    const ts_http_message_t *answer; /**< response, valid during the callback; NULL on an error */
+    ts_time_us_t span_us;   /**< from sending the request to the end of the exchange; 0: not sent */
+    bool has_invalid_times; /**< `span_us` includes a stall of this process */
 } ts_exchange_result_t;
 
-/** Called once, unless the exchange is cancelled or released before. */
+/**
+ * Called once when the exchange ends, unless it was cancelled or released. The exchange is freed
+ * after the call.
+ */
 typedef void (*ts_exchange_done_t)(ts_exchange_t *exchange, const ts_exchange_result_t *result,
                                    void *owner);
 
@@ -42,19 +45,20 @@
 void ts_upstream_set_idle_limit_callback(ts_upstream_t *upstream,
                                          ts_upstream_idle_limit_cb_t callback, void *ctx);
 /**
- * Sets the detector of process stalls. It is run before a very late response is evaluated, so
- * that a stall of this process does not count against the instance.
+ * Sets the detector of process stalls. It is run when an exchange ends more than TS_STALL_MIN_US
+ * after its request was sent, before the result is evaluated, so that a stall of this process does
+ * not count against the instance.
  */
 void ts_upstream_set_stall_detector(ts_upstream_t *upstream, ts_stall_detector_t *detector);
-/** Marks the times of all exchanges as invalid after a process stall, as they include the stall. */
+/** Marks the times of all current exchanges as invalid, as they include a process stall. */
 void ts_upstream_invalidate_times(ts_upstream_t *upstream);
 /** A send whose connection failed after the request was sent and before a complete response. */
 typedef struct ts_broken_send {
     ts_instance_t *instance;
     ts_outgoing_t *outgoing;
     ts_time_us_t span_us; /**< time since the request was sent */
-    bool is_awaited;      /**< the exchange was not released */
-    bool is_isolated;     /**< only one send of the request at a time, see ts_send_terms_t */
+    bool is_awaited;      /**< its response was still awaited: the exchange was not released */
+    bool is_isolated;     /**< sent alone, as the request may crash backends */
 } ts_broken_send_t;
 
 /** Called for each broken send, before the `done` callback of its exchange. */
@@ -75,8 +79,8 @@
 /** Ends an exchange at once by closing its connection; `done` is not called. */
 void ts_exchange_cancel(ts_exchange_t *exchange);
 /**
- * Tells that the response is no longer awaited: `done` is not called. The exchange may still
- * complete until `until_us`, so that its connection can be reused; then it is cancelled.
+ * Marks the response as no longer awaited: `done` is not called. The exchange may still complete
+ * until `until_us`, so that its connection can be reused; after that time it is cancelled.
  */
 void ts_exchange_release(ts_exchange_t *exchange, ts_time_us_t until_us);
 /** When the request was sent; 0 while the connection is being established. */
--- a/src/http/http_message.c
+++ b/src/http/http_message.c
@@ -78,7 +78,7 @@
     if (has_length && parser->content_length > message->body_max) {
         return set_error(message, TS_E_TOO_LARGE) == 1 ? -1 : 0;
     }
-    return message->is_response_to_head ? 1 : 0;
+    return message->is_response_to_head ? 1 : 0; /* 1: http_parser expects no body */
 }
 
 static int read_body(http_parser *parser, const char *bytes, size_t length)
@@ -296,19 +296,19 @@
 
 bool ts_http_message_is_unforwarded_field(const ts_http_message_t *message, const char *name)
 {
-    static const char *const hop_fields[] = {"Connection",
-                                             "Keep-Alive",
-                                             "Proxy-Connection",
-                                             "Proxy-Authenticate",
-                                             "Proxy-Authorization",
-                                             "TE",
-                                             "Trailer",
-                                             "Transfer-Encoding",
-                                             "Upgrade",
-                                             "Content-Length",
-                                             "Expect"};
-    for (size_t i = 0; i < G_N_ELEMENTS(hop_fields); i++) {
-        if (strcasecmp(name, hop_fields[i]) == 0) {
+    static const char *const unforwarded_fields[] = {"Connection",
+                                                     "Keep-Alive",
+                                                     "Proxy-Connection",
+                                                     "Proxy-Authenticate",
+                                                     "Proxy-Authorization",
+                                                     "TE",
+                                                     "Trailer",
+                                                     "Transfer-Encoding",
+                                                     "Upgrade",
+                                                     "Content-Length",
+                                                     "Expect"};
+    for (size_t i = 0; i < G_N_ELEMENTS(unforwarded_fields); i++) {
+        if (strcasecmp(name, unforwarded_fields[i]) == 0) {
             return true;
         }
     }
--- a/src/observe/log.c
+++ b/src/observe/log.c
@@ -26,7 +26,8 @@
 static ts_log_format_t log_format = TS_LOG_TEXT;
 static GLogLevelFlags log_minimum = G_LOG_LEVEL_MESSAGE;
 static ts_line_writer_t *log_writer;
-static gboolean is_flushed_by_loop; /* ts_log_flush() is called by the event loop */
+/* ts_log_flush() has been called; until then, each line is flushed at once. */
+static gboolean is_flushed_by_loop;
 
 static const char *name_level(GLogLevelFlags level)
 {
@@ -93,7 +94,7 @@
 }
 
 /* Whether a text consists of "name=value" pairs. */
-static gboolean is_fields(const char *text)
+static gboolean is_field_list(const char *text)
 {
     while (*text != '\0') {
         size_t name = strspn(text, "abcdefghijklmnopqrstuvwxyz_");
@@ -108,7 +109,7 @@
 
 static void append_details(GString *out, const char *detail)
 {
-    if (!is_fields(detail)) {
+    if (!is_field_list(detail)) {
         append_field(out, "detail", strlen("detail"), detail, strlen(detail));
         return;
     }
--- a/src/observe/tenant_counters.c
+++ b/src/observe/tenant_counters.c
@@ -1,7 +1,7 @@
 /** Request counters by tenant and outcome. */
 #include "tealspar/tenant_counters.h"
 
-/* Label shared by tenants without one of their own. */
+/* Label of the tenants that are first seen after TS_TENANT_LABELS_MAX labels are in use. */
 #define OTHERS_LABEL "(others)"
 
 typedef struct tenant_row {
--- a/src/upstream/upstream.c
+++ b/src/upstream/upstream.c
@@ -12,16 +12,20 @@
 #define ANSWER_BODY_MAX (4U * 1024U * 1024U)
 #define CONNECT_TIMEOUT_US (1000 * TS_US_PER_MS)
 /*
- * Non-idempotent requests are not sent on a connection that was idle for longer than this: the
- * backend may be closing it.
+ * Non-idempotent requests are sent only on connections that have been idle for at most this time:
+ * the backend may be closing a connection that has been idle for longer.
  */
 #define NON_IDEMPOTENT_IDLE_MAX_US (500 * TS_US_PER_MS)
-/* Idle timeout if the backend does not announce one, and safety margin if it does. */
+/*
+ * Idle timeout if the backend announces none in its Keep-Alive field. From an announced timeout the
+ * margin is subtracted, so that this node closes the connection before the backend does.
+ */
 #define IDLE_TIMEOUT_DEFAULT_US (4 * TS_US_PER_S)
 #define IDLE_TIMEOUT_MARGIN_US (700 * TS_US_PER_MS)
 /* A reset within this time after sending is attributed to the connection, not to the request. */
 #define PROMPT_RESET_MAX_US (60 * TS_US_PER_MS)
 #define CHECK_INTERVAL_MS 50
+/* The process at the address is not the instance named in the request. */
 #define STATUS_MISDIRECTED 421
 #define STATUS_SUCCESS_FIRST 200
 #define STATUS_SERVER_ERROR 500
@@ -38,8 +42,8 @@
     ts_http_message_t answer;
     ts_time_us_t idle_since_us;       /**< when it last became idle; 0: never */
     ts_time_us_t idle_before_send_us; /**< how long it was idle before the current exchange */
-    ts_time_us_t idle_timeout_us;     /**< it is closed when idle for longer */
-    GString *request_bytes;           /**< the request being sent */
+    ts_time_us_t idle_timeout_us; /**< the connection is closed once idle for longer than this */
+    GString *request_bytes;       /**< the request being sent */
     bool is_idle;
     bool is_closing;
 } ts_connection_t;
@@ -54,7 +58,7 @@
     ts_time_us_t started_us;
     ts_time_us_t sent_us;
     ts_time_us_t until_us;    /**< once released, it is cancelled at this time */
-    bool has_pending_failure; /**< connecting or sending failed, but is not reported yet */
+    bool has_pending_failure; /**< connecting or sending failed; reported by check_exchanges() */
     double typical_us;        /**< usual response time; 0: unknown, or already counted as late */
     bool has_invalid_times;   /**< this process stalled during the exchange */
     ts_byte_cause_t cause;    /**< traffic category of its bytes, see byte_account.h */
@@ -149,7 +153,7 @@
     } else if (result->error == TS_OK) {
         ts_instance_note_refusal(exchange->instance, now_us);
     }
-    /* The process at this address is not the expected instance. */
+    /* Another process now uses the address, so the expected instance has ended. */
     if (result->error == TS_OK && result->answer->parser.status_code == STATUS_MISDIRECTED)
         ts_instance_note_ended(exchange->instance);
     exchange->outgoing->sends_in_flight--;
@@ -159,14 +163,17 @@
     free_exchange(exchange);
 }
 
-/* Records a prompt reset: the backend rejected the connection, or had closed it while idle. */
+/*
+ * Records a reset within PROMPT_RESET_MAX_US after sending: the backend rejected a new connection,
+ * or had closed a reused one while it was idle.
+ */
 static void record_reset(const ts_connection_t *connection)
 {
     ts_time_us_t now_us = ts_clock_now_us();
     const ts_exchange_t *exchange = connection->exchange;
     bool is_prompt = now_us - exchange->sent_us < PROMPT_RESET_MAX_US;
     if (exchange->sent_us == 0 || !is_prompt || connection->answer.has_begun)
-        return; /* the request was being processed, or the response had begun */
+        return; /* not sent, possibly being processed, or the response had begun */
     if (connection->idle_since_us == 0)
         ts_instance_note_connection_rejected(connection->instance, now_us);
     else
@@ -187,7 +194,8 @@
 
 /*
  * Closes the connection and ends its exchange with an error. A request that was sent and got no
- * response counts as a failure of the instance, whatever the reason.
+ * valid response counts as a failure of the instance, whatever the reason. Failures before sending
+ * are not recorded in the instance here.
  */
 static void fail_exchange(ts_exchange_t *exchange, ts_error_t error)
 {
@@ -206,6 +214,10 @@
     end_exchange(exchange, &result);
 }
 
+/*
+ * Cancels a released exchange after its `until_us`, and fails one that could not connect or send.
+ * Ends at most one exchange per call, as the list may change while it ends.
+ */
 static void check_exchanges(uv_timer_t *timer)
 {
     ts_upstream_t *upstream = timer->data;
@@ -217,7 +229,7 @@
             exchange->sent_us == 0 && now_us - exchange->started_us > CONNECT_TIMEOUT_US;
         if (now_us > exchange->until_us && exchange->done == NULL) {
             ts_exchange_cancel(exchange);
-            return; /* the list may have changed: continue on the next timer call */
+            return; /* the next timer call continues */
         }
         if (exchange->has_pending_failure) {
             uv_timer_start(timer, check_exchanges, 0, CHECK_INTERVAL_MS);
@@ -314,7 +326,7 @@
 
 /*
  * Builds the request: the head and body, which all sends of the request share, the remaining time
- * and the expected instance.
+ * (at least 1 ms) and the expected instance.
  */
 static void build_request(ts_connection_t *connection, ts_time_us_t now_us)
 {
@@ -436,7 +448,7 @@
             continue;
         }
         if (!is_repeatable && idle_us > NON_IDEMPOTENT_IDLE_MAX_US) {
-            return NULL; /* the queue's other connections were idle for even longer */
+            return NULL; /* the rest of the queue has been idle for even longer */
         }
         remove_from_idle(connection);
         connection->idle_before_send_us = idle_us;
@@ -504,7 +516,7 @@
     *buffer = uv_buf_init(bytes, sizeof(bytes));
 }
 
-/* Idle timeout of the connection, from the backend's Keep-Alive field. */
+/* Idle timeout from the Keep-Alive field, less the margin; 0: too short to reuse the connection. */
 static ts_time_us_t parse_idle_timeout(const ts_http_message_t *answer)
 {
     const char *value = ts_http_message_find(answer, "Keep-Alive");
@@ -527,7 +539,7 @@
                : TS_EXECUTION_COMPLETED;
 }
 
-/* Whether the response belongs to this request; a faulty backend may send that of another one. */
+/* Whether the response belongs to this request; a faulty backend may mix up responses. */
 static bool has_expected_id(const ts_exchange_t *exchange, const ts_http_message_t *answer)
 {
     const char *expected_id = exchange->outgoing->request_id;
@@ -556,7 +568,7 @@
            ts_http_message_find(answer, "Content-Encoding") == NULL;
 }
 
-/* Closes idle connections over this node's limit, those idle for longest first. */
+/* Closes the connections that have been idle longest, down to this node's limit. */
 static void close_excess_idle(const ts_upstream_t *upstream, ts_instance_t *instance,
                               ts_time_us_t now_us)
 {
@@ -581,7 +593,7 @@
     close_excess_idle(connection->upstream, connection->instance, connection->idle_since_us);
 }
 
-/* Handles a complete response. `is_stream_unusable`: the stream ended, or has unexpected bytes. */
+/* Handles a complete response. `is_stream_unusable`: the stream ended, or more bytes follow. */
 static void finish_answer(ts_connection_t *connection, bool is_stream_unusable)
 {
     ts_exchange_t *exchange = connection->exchange;
