--- a/src/proto/wire.c
+++ b/src/proto/wire.c
@@ -13,7 +13,7 @@
     GPtrArray *subreplies;  /* of TsWire__Subreply */
     GArray *gossips;        /* of ProtobufCBinaryData, borrowed */
     GPtrArray *documents;   /* of TsWire__Document */
-    GArray *cancels;
+    GArray *cancels;        /* of uint64_t, counters of parts */
 };
 
 /* protobuf-c requires non-NULL pointers for these strings. */
@@ -256,6 +256,7 @@
     ts_subreply_t *subreply = &message->subreply;
     subreply->counter = wire->counter;
     subreply->error = (ts_error_t)wire->error;
+    /* An unknown value is taken to mean that the part may have run. */
     subreply->run =
         wire->run > TS_EXECUTION_NOT_HERE ? TS_EXECUTION_POSSIBLE : (ts_execution_t)wire->run;
     subreply->snapshot = wire->snapshot;
--- a/tests/http/test_bearer.c
+++ b/tests/http/test_bearer.c
@@ -32,7 +32,7 @@
             continue;
         count++;
         if (count == 1 && g_ascii_strcasecmp(words[i], "Bearer") != 0)
-            count = 99;
+            count = 99; // wrong scheme: never equals the valid count of 2
         if (count == 2)
             token = g_strdup(words[i]);
     }
