--- a/include/tealspar/wire.h
+++ b/include/tealspar/wire.h
@@ -40,7 +40,10 @@
 
 /** Called once per frame, before its messages; the strings are valid during the call. */
 typedef void (*ts_wire_sender_cb_t)(void *context, const ts_wire_identity_t *sender);
-/** As ts_wire_frame_unpack(), but also reports the sender if `sender` is not NULL. */
+/**
+ * Unpacks a frame like ts_wire_frame_unpack(), with the same results. Calls `sender`, unless it is
+ * NULL, once before the messages of an accepted frame.
+ */
 ts_error_t ts_wire_frame_receive(const ts_wire_identity_t *identity, const uint8_t *bytes,
                                  size_t length, ts_wire_sender_cb_t sender,
                                  ts_wire_message_cb_t receiver, void *context);
--- a/src/observe/log.c
+++ b/src/observe/log.c
@@ -71,7 +71,7 @@
     }
 }
 
-/* Whether a value is written as a JSON number. */
+/* Whether a value is written as a JSON number: 1 to 15 digits without a leading zero. */
 static gboolean is_number(const char *text, size_t length)
 {
     size_t digits = strspn(text, "0123456789");
