--- a/include/tealspar/declarations.h
+++ b/include/tealspar/declarations.h
@@ -30,7 +30,7 @@
 bool ts_labels_match(char **terms, unsigned term_count, char **labels, unsigned label_count);
 /** Whether a string is a label "key=value" or, with `allow_alternatives`, a term. */
 bool ts_label_is_valid(const char *text, bool allow_alternatives);
-/** Whether two labels or terms have the same key. Two such terms of a list cannot both match. */
+/** Whether two labels or terms have the same key. A list of terms may have one term per key. */
 bool ts_label_has_same_key(const char *left, const char *right);
 
 #endif
--- a/include/tealspar/gateway_settings.h
+++ b/include/tealspar/gateway_settings.h
@@ -18,7 +18,7 @@
  */
 typedef enum ts_straggler_policy {
     TS_STRAGGLER_ADAPTIVE,    /**< suspicion, hedges as late as the target allows */
-    TS_STRAGGLER_FIXED_HEDGE, /**< hedges after a fixed part of the target */
+    TS_STRAGGLER_FIXED_HEDGE, /**< hedges after a fixed fraction of the target */
     TS_STRAGGLER_NAIVE        /**< no hedges, no partial responses before the timeout */
 } ts_straggler_policy_t;
 
@@ -37,19 +37,20 @@
     char *store; /**< "IP:port" of the configuration service */
     ts_zone_setting_t *zones;
     unsigned zones_count;
-    uint32_t drain_ms;     /**< time after which a draining backend gets no new requests */
+    /** After this a draining backend takes no new requests; gateways send none after half of it. */
+    uint32_t drain_ms;
     uint32_t heartbeat_ms; /**< interval at which a backend renews its entry */
     uint32_t grace_ms;     /**< from the stop signal until the process is killed */
-    double retry_ratio;    /**< extra sends per request, fleet-wide */
+    double retry_ratio;    /**< hedges and retries per request, for each service, fleet-wide */
     uint32_t retry_window_ms;
-    double retry_slack;       /**< additional extra sends per window, fleet-wide */
+    double retry_slack;       /**< plus this many hedges and retries per window, fleet-wide */
     double warmup_overrun;    /**< a backend in warm-up gets this multiple of its service's rate, */
     double warmup_slack;      /**< plus this many requests per second, fleet-wide */
     uint32_t quota_window_ms; /**< window over which a tenant's limit is measured */
     double quota_overrun;     /**< tolerated excess per window, as a fraction of the limit, */
     double quota_slack;       /**< plus this many requests */
-    uint32_t revoke_ms;       /**< how long keys are accepted without confirmation */
-    bool revoke_fail_closed;  /**< whether requests with keys are refused after `revoke_ms` */
+    uint32_t revoke_ms;       /**< maximum age of the configuration's last confirmation */
+    bool revoke_fail_closed;  /**< beyond `revoke_ms`, refuse requests with keys */
     ts_straggler_policy_t policy;
     uint32_t without; /**< disabled mechanisms; bits from tealspar/mechanism.h */
     ts_log_format_t log_format;
--- a/include/tealspar/histogram.h
+++ b/include/tealspar/histogram.h
@@ -1,6 +1,7 @@
 /**
- * Log-linear histogram of durations: fixed memory, relative error below 1/16, mergeable. Used for
- * metrics, for the quantiles that determine hedge and stop times, and by the lab.
+ * Log-linear histogram of durations: fixed memory, relative error below 1/16, mergeable. The last
+ * bucket also counts all larger values. Used for metrics, for the quantiles that determine hedge
+ * and stop times, and by the lab.
  */
 #ifndef TEALSPAR_HISTOGRAM_H
 #define TEALSPAR_HISTOGRAM_H
@@ -22,7 +23,7 @@
 
 /** Index of the bucket for a value. */
 uint32_t ts_histogram_bucket(ts_time_us_t value_us);
-/** Largest value counted in a bucket, in microseconds. */
+/** Upper bound of a bucket (inclusive), in microseconds; the last bucket also counts more. */
 ts_time_us_t ts_histogram_upper_us(uint32_t bucket);
 void ts_histogram_add(ts_histogram_t *histogram, ts_time_us_t value_us);
 /** Upper bound of the bucket that contains the quantile (0 to 1), or 0 if empty. */
--- a/include/tealspar/http_server.h
+++ b/include/tealspar/http_server.h
@@ -55,7 +55,10 @@
 /** Sets the callback for a caller that disconnects before the reply. */
 void ts_http_set_abandoned_callback(ts_http_exchange_t *exchange, ts_http_abandoned_cb_t abandoned,
                                     void *context);
-/** Copies the value of a request header (lower-case name) into `value`; false if absent. */
+/**
+ * Copies the value of a request header (lower-case name) into `value`, silently truncated to
+ * `size` - 1 bytes. Returns false if the header is absent.
+ */
 bool ts_http_header(ts_http_exchange_t *exchange, const char *name, char *value, size_t size);
 /**
  * Sends the reply and ends the exchange. If `retry_after_ms` is above zero, adds a Retry-After
--- a/include/tealspar/messages.h
+++ b/include/tealspar/messages.h
@@ -26,7 +26,7 @@
     TS_EXECUTION_NONE,      /**< not executed */
     TS_EXECUTION_COMPLETED, /**< completed */
     TS_EXECUTION_POSSIBLE,  /**< may have been executed, or may still be */
-    TS_EXECUTION_NOT_HERE   /**< not by this owner, which cannot tell about previous owners */
+    TS_EXECUTION_NOT_HERE   /**< not by this owner; an earlier owner may have executed it */
 } ts_execution_t;
 
 /** Parameters of a query, shared by all its subrequests. Immutable, reference-counted. */
@@ -44,8 +44,8 @@
     ts_time_us_t deadline_us; /**< by the clock of this process */
 } ts_query_params_t;
 
-ts_query_params_t *ts_query_params_ref(ts_query_params_t *work);
-void ts_query_params_unref(ts_query_params_t *work);
+ts_query_params_t *ts_query_params_ref(ts_query_params_t *params);
+void ts_query_params_unref(ts_query_params_t *params);
 
 /** A subrequest: a query to one shard at one backend. */
 typedef struct ts_subrequest {
@@ -65,16 +65,16 @@
 typedef struct ts_subreply {
     uint64_t counter;
     ts_error_t error;
-    ts_execution_t run;
-    uint64_t snapshot; /**< index version that was searched */
-    uint64_t total;    /**< all hits in the shard, including those beyond the limit */
+    ts_execution_t run; /**< whether the searcher executed the subrequest */
+    uint64_t snapshot;  /**< snapshot (index version) that was searched */
+    uint64_t total;     /**< all hits in the shard, including those beyond the limit */
     ts_hit_t *hits;
     size_t hits_count;
     uint32_t service_us;   /**< time at the searcher including the network, measured by the owner */
     uint32_t queue_us;     /**< time spent waiting for a slot */
-    uint32_t slots_in_use; /**< at the owner, at the time of the reply */
-    uint32_t queue_length; /**< at the owner, at the time of the reply */
-    uint32_t retry_after_ms;
+    uint32_t slots_in_use; /**< at the owner when it replies; 0 if unknown */
+    uint32_t queue_length; /**< at the owner when it replies; 0 if unknown */
+    uint32_t retry_after_ms; /**< suggested wait before a retry; 0: none */
 } ts_subreply_t;
 
 /** Frees the hits of a subreply, but not the subreply itself. */
@@ -83,23 +83,23 @@
 /** Id of the local node in `peer` fields. */
 #define TS_PEER_SELF 0ULL
 
-/** Subrequests of one query, for a broker. */
+/** Subrequests of one query, from a front to a broker. */
 typedef struct ts_subrequests_message {
     ts_message_t head;
-    uint64_t peer;
+    uint64_t peer; /**< at a broker: the sender; at the mesh: the destination */
     ts_query_params_t *work;
     size_t parts_count;
     ts_subrequest_t parts[];
 } ts_subrequests_message_t;
 
-/** Creates a message with space for `parts_count` subrequests; takes a reference to `work`. */
-ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_query_params_t *work,
+/** Creates a message with space for `parts_count` subrequests; takes a reference to `params`. */
+ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_query_params_t *params,
                                                  size_t parts_count);
 
-/** A subreply, for a front. */
+/** A subreply, from a broker to a front. */
 typedef struct ts_subreply_message {
     ts_message_t head;
-    uint64_t peer;
+    uint64_t peer; /**< at a front: the sender; at the mesh: the destination */
     ts_subreply_t subreply;
 } ts_subreply_message_t;
 
@@ -108,8 +108,8 @@
 /** Request to a broker to cancel a subrequest; ignored if that has ended. */
 typedef struct ts_cancel_message {
     ts_message_t head;
-    uint64_t peer;
-    uint64_t counter;
+    uint64_t peer;    /**< at a broker: the sender; at the mesh: the destination */
+    uint64_t counter; /**< id of the subrequest */
 } ts_cancel_message_t;
 
 ts_cancel_message_t *ts_cancel_message(uint64_t peer, uint64_t counter);
@@ -117,8 +117,8 @@
 /** A serialized ts_wire.Gossip, received or to be sent. */
 typedef struct ts_gossip_message {
     ts_message_t head;
-    char *peer_name;
-    char *peer_address; /**< address of the peer for connections between nodes */
+    char *peer_name;    /**< at membership: the sender; at the mesh: the destination */
+    char *peer_address; /**< address of that peer for connections between nodes */
     uint8_t *bytes;
     size_t length;
 } ts_gossip_message_t;
@@ -161,7 +161,7 @@
  */
 typedef struct ts_document_message {
     ts_message_t head;
-    char *peer_name; /**< NULL: from the platform */
+    char *peer_name; /**< as in ts_gossip_message_t; NULL: from the platform */
     char *peer_address;
     bool wanted; /**< the peer requests the document */
     uint64_t version;
--- a/include/tealspar/node.h
+++ b/include/tealspar/node.h
@@ -25,7 +25,7 @@
     const char *platform;        /**< name of the platform plug-in */
     void *environment;           /**< used by the simulator */
     const ts_settings_t *settings;
-    uint64_t incarnation; /**< start time, wall clock in ms; increases with every start */
+    uint64_t incarnation; /**< start time, wall clock in ms; later starts must have larger values */
     bool stopping;
 } ts_node_t;
 
--- a/include/tealspar/stall_detector.h
+++ b/include/tealspar/stall_detector.h
@@ -11,12 +11,15 @@
 
 #include "tealspar/clock.h"
 
-/** A loop iteration that exceeds its expected duration by more than this counts as a stall. */
+/**
+ * Two checks that are further apart than the loop was due to poll between them plus this time
+ * indicate a stall.
+ */
 #define TS_STALL_MIN_US (500 * TS_US_PER_MS)
 
 typedef struct ts_stall_detector ts_stall_detector_t;
 
-/** Called after a stall. `stalled_us` is its duration. */
+/** Called after a stall. `stalled_us` is the time between the checks without the expected poll. */
 typedef void (*ts_stall_cb_t)(void *ctx, ts_time_us_t stalled_us);
 
 /** Checks twice per loop iteration. Lives as long as the loop. */
--- a/include/tealspar/task.h
+++ b/include/tealspar/task.h
@@ -12,13 +12,14 @@
 
 /** Message types of a node; each comment names the message struct. */
 typedef enum ts_message_type {
-    TS_MESSAGE_SUBREQUESTS,  /**< ts_subrequests_message_t: to the broker */
-    TS_MESSAGE_SUBREPLIES,   /**< ts_subreply_message_t: to the front */
-    TS_MESSAGE_CANCEL,       /**< ts_cancel_message_t: to the broker */
-    TS_MESSAGE_GOSSIP,       /**< ts_gossip_message_t: to membership */
+    TS_MESSAGE_SUBREQUESTS,  /**< ts_subrequests_message_t: to the broker or the mesh */
+    TS_MESSAGE_SUBREPLIES,   /**< ts_subreply_message_t: to the front or the mesh */
+    TS_MESSAGE_CANCEL,       /**< ts_cancel_message_t: to the broker or the mesh */
+    TS_MESSAGE_GOSSIP,       /**< ts_gossip_message_t: to membership or the mesh */
     TS_MESSAGE_PEER_LOST,    /**< ts_peer_lost_message_t: the connection to a peer was closed */
     TS_MESSAGE_MACHINES,     /**< ts_machines_message_t: the platform's list of machines */
-    TS_MESSAGE_DOCUMENT,     /**< ts_document_message_t: a candidate configuration */
+    TS_MESSAGE_DOCUMENT,     /**< ts_document_message_t: announces, requests or has a configuration
+                                document */
     TS_MESSAGE_DECLARATIONS, /**< ts_declarations_message_t: the configuration now in effect */
     TS_MESSAGE_VIEW,         /**< ts_view_message_t: a new membership view */
     TS_MESSAGE_BROKER_IDLE   /**< ts_message_t: a broker that is shutting down is idle */
--- a/include/tealspar/traffic.h
+++ b/include/tealspar/traffic.h
@@ -40,7 +40,7 @@
     uint32_t aim_ms;       /**< target latency; 0: none */
     uint32_t priority;     /**< 0 is the highest */
     uint32_t top_count;    /**< gather: maximum records in a response */
-    double coverage_min;   /**< gather: minimum ratio of parts for a success */
+    double coverage_min;   /**< gather: minimum fraction of parts answered for a success */
 } ts_traffic_route_t;
 
 typedef struct ts_traffic_service {
--- a/src/cli/command_explain.c
+++ b/src/cli/command_explain.c
@@ -62,7 +62,10 @@
     }
 }
 
-/* The choice of a node without measurements. */
+/*
+ * Returns the index in `replicas` of the first choice of a node without measurements. Replicas
+ * beyond CANDIDATES_MAX are ignored.
+ */
 static int choose(const explanation_t *explanation, const uint32_t *replicas, uint32_t count)
 {
     ts_candidate_t candidates[CANDIDATES_MAX] = {0};
--- a/src/cli/command_node.c
+++ b/src/cli/command_node.c
@@ -12,7 +12,7 @@
 #define OVERRIDES_MAX 20
 #define TABLE_SIZE 5
 
-/* Replaces the line of the key in the YAML text by "key: value", or appends it. Frees `text`. */
+/* Sets a top-level key in the YAML text: replaces its line, or appends one. Frees `text`. */
 static char *override_key(char *text, const char *assignment)
 {
     const char *equals = strchr(assignment, '=');
--- a/src/kernel/messages.c
+++ b/src/kernel/messages.c
@@ -3,22 +3,22 @@
 
 #include "tealspar/declarations.h"
 
-ts_query_params_t *ts_query_params_ref(ts_query_params_t *work)
+ts_query_params_t *ts_query_params_ref(ts_query_params_t *params)
 {
-    work->references++;
-    return work;
+    params->references++;
+    return params;
 }
 
-void ts_query_params_unref(ts_query_params_t *work)
+void ts_query_params_unref(ts_query_params_t *params)
 {
-    if (work == NULL || --work->references > 0) {
+    if (params == NULL || --params->references > 0) {
         return;
     }
-    g_free(work->request_id);
-    g_free(work->kind);
-    g_free(work->text);
-    g_free(work->key);
-    g_free(work);
+    g_free(params->request_id);
+    g_free(params->kind);
+    g_free(params->text);
+    g_free(params->key);
+    g_free(params);
 }
 
 void ts_subreply_clear(ts_subreply_t *subreply)
@@ -38,7 +38,7 @@
     g_free(message);
 }
 
-ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_query_params_t *work,
+ts_subrequests_message_t *ts_subrequests_message(uint64_t peer, ts_query_params_t *params,
                                                  size_t parts_count)
 {
     ts_subrequests_message_t *message =
@@ -46,7 +46,7 @@
     message->head.type = TS_MESSAGE_SUBREQUESTS;
     message->head.destroy = destroy_subrequests;
     message->peer = peer;
-    message->work = ts_query_params_ref(work);
+    message->work = ts_query_params_ref(params);
     message->parts_count = parts_count;
     return message;
 }
--- a/src/kernel/node.c
+++ b/src/kernel/node.c
@@ -149,12 +149,12 @@
 }
 
 /* Opens or starts all tasks in order, until one fails. */
-static ts_error_t call_tasks(ts_node_t *node, bool opens)
+static ts_error_t call_tasks(ts_node_t *node, bool is_opening)
 {
     const ts_plugin_t *plugin = NULL;
     while ((plugin = ts_plugin_next(TS_PLUGIN_TASK, plugin)) != NULL) {
         const ts_task_ops_t *ops = plugin->ops;
-        ts_error_t (*operation)(ts_node_t *) = opens ? ops->open : ops->start;
+        ts_error_t (*operation)(ts_node_t *) = is_opening ? ops->open : ops->start;
         ts_error_t error = operation == NULL ? TS_OK : operation(node);
         if (error != TS_OK) {
             ts_log(TS_EVENT_FAILURE, "%s: %s", plugin->name, ts_error_text(error));
--- a/tests/cli/test_node_replies.c
+++ b/tests/cli/test_node_replies.c
@@ -166,7 +166,7 @@
 
 // A node that does not own the backend yet must refuse the subrequest, also if the sender is not in
 // its view. The reply to an unknown node used to be dropped, so that 1 of 175 dispatches during a
-// rolling stop ran into its deadline and ended unknown.
+// rolling stop reached its deadline, and its outcome was reported as unknown.
 static void test_node_replies_to_unknown_peer(void **state)
 {
     static fixture_t fixture; // static, as nng's threads may wake its loop later
@@ -223,7 +223,7 @@
 }
 
 // The threads of a node must not be pinned to one core. With that core busy, requests of a node on
-// an otherwise idle machine took seconds or ended unknown.
+// an otherwise idle machine took seconds, or their outcome was reported as unknown.
 static void test_threads_may_run_on_all_cores(void **state)
 {
     static fixture_t fixture;
--- a/tests/cli/test_stop_at_start.c
+++ b/tests/cli/test_stop_at_start.c
@@ -100,7 +100,7 @@
 }
 
 /* SIGHUP (reload of the settings) must not terminate a process that is reading its settings. */
-static void test_settings_change_while_a_gateway_starts(void **state)
+static void test_sighup_is_ignored_while_a_gateway_starts(void **state)
 {
     process_t process = start_process("gateway");
     kill(process.pid, SIGHUP);
@@ -117,7 +117,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_gateway_is_stopped_while_it_starts),
         cmocka_unit_test(test_node_is_stopped_while_it_starts),
-        cmocka_unit_test(test_settings_change_while_a_gateway_starts),
+        cmocka_unit_test(test_sighup_is_ignored_while_a_gateway_starts),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
