--- a/include/tealspar/declarations-t.h
+++ b/include/tealspar/declarations-t.h
@@ -72,9 +72,9 @@
     double hedge_percent;        /**< hedge budget, in percent of subrequests */
     double retry_percent;        /**< retry budget, in percent of subrequests */
     uint32_t priority;           /**< 0 to 9, 9 is the highest */
-    uint32_t slot_share_percent; /**< maximum share of a backend's slots; absent: 100 */
-    uint32_t result_limit;       /**< maximum hits that a caller may page through; absent: 100 */
-    bool unrepeatable;           /**< queries must be executed at most once */
+    uint32_t slot_share_percent; /**< maximum share of a backend's slots; absent or 0: 100 */
+    uint32_t result_limit; /**< maximum hits that a caller may page through; 0 or absent: 100 */
+    bool unrepeatable;     /**< queries must be executed at most once */
     /* Computed at load: */
     uint32_t *reach; /**< indexes of the reachable shards */
     uint32_t reach_count;
--- a/include/tealspar/http_client.h
+++ b/include/tealspar/http_client.h
@@ -31,9 +31,9 @@
  */
 ts_error_t ts_http_pool_open(ts_http_pool_t **pool, uv_loop_t *loop, const char *address,
                              size_t connections);
-/** Closes idle connections and frees the pool once its last call has ended. */
+/** Closes the pool's connections once its last call has ended. The struct is never freed. */
 void ts_http_pool_close(ts_http_pool_t *pool);
-/** Number of connections in use or being opened, without idle ones. */
+/** Number of calls that have not ended; excludes idle connections. */
 unsigned ts_http_pool_in_use(const ts_http_pool_t *pool);
 
 /** A request to be sent. The strings are copied. */
--- a/include/tealspar/traffic.h
+++ b/include/tealspar/traffic.h
@@ -82,7 +82,7 @@
  * malformed name, which makes ts_traffic_finish() fail.
  */
 void ts_traffic_route_allow_region(ts_traffic_route_t *route, const char *region);
-/** Adds a service; the caller fills in the other fields. */
+/** Adds a service, or replaces that of the same name; the caller fills in the other fields. */
 ts_traffic_service_t *ts_traffic_add_service(ts_traffic_t *traffic, const char *name);
 /**
  * Validates and indexes the configuration. Adds all errors to `problems`. Returns TS_OK, or
--- a/src/cli/command_trace.c
+++ b/src/cli/command_trace.c
@@ -22,7 +22,7 @@
     GArray *lines; /* of trace_line_t */
     unsigned long lines_read;
     unsigned long lines_malformed;
-    GHashTable *instances; /* ids of the backends in these lines */
+    GHashTable *instances; /* ids of the backend instances in these lines */
 } trace_t;
 
 static void clear_line(gpointer data)
--- a/src/config/declarations.c
+++ b/src/config/declarations.c
@@ -12,6 +12,7 @@
 #define MAX_SHARDS_PER_GROUP 10000U
 #define MAX_SLOTS 1024U
 #define MAX_CONNECTIONS 65535U
+/* Further problems of a document are not reported. */
 #define MAX_PROBLEMS 20U
 #define FULL_PERCENT 100.0
 #define DEFAULT_RESULT_LIMIT 100U
