--- a/include/tealspar/gateway_settings.h
+++ b/include/tealspar/gateway_settings.h
@@ -22,7 +22,7 @@
     TS_STRAGGLER_NAIVE        /**< no hedges, no partial responses before the timeout */
 } ts_straggler_policy_t;
 
-/** Loaded from YAML; etc/gateway.yaml documents the keys. */
+/** Loaded from YAML; etc/gateway.yaml documents the keys. A time of 0 counts as absent. */
 typedef struct ts_gateway_settings {
     char *name;
     char *zone;
--- a/include/tealspar/settings.h
+++ b/include/tealspar/settings.h
@@ -13,7 +13,7 @@
 /** The least severe level that is logged, as a GLib flag. */
 GLogLevelFlags ts_log_level_flags(ts_log_level_t level);
 
-/** Loaded from YAML; command-line options override single keys. */
+/** Loaded from YAML; command-line options override single keys. A limit of 0 counts as absent. */
 typedef struct ts_settings {
     char *name;    /**< unique in the cluster */
     char *cluster; /**< messages from nodes of other clusters are refused */
