--- a/src/proto/tealspar.pb-c.h
+++ b/src/proto/tealspar.pb-c.h
@@ -109,7 +109,7 @@
    */
   int32_t error;
   /*
-   * ts_run_t
+   * ts_execution_t
    */
   uint32_t run;
   uint64_t snapshot;
