--- a/tests/lab/test_fuzz.c
+++ b/tests/lab/test_fuzz.c
@@ -25,7 +25,7 @@
     assert_true(answered > SEEDS); /* the fleet has really answered queries */
 }
 
-/* Seeds that have found a bug, with its cause. */
+/* Seeds that have found a bug, each with its cause (docs/FAILURES.md, 15, 16 and 73). */
 static void test_seeds_that_failed_once(void **state)
 {
     static const uint64_t seeds[] = {
