--- a/bench/platform/site_bench.py
+++ b/bench/platform/site_bench.py
@@ -1,4 +1,4 @@
-"""Finds the bench that plays a site: the one named by the page in the folder of the site.
+"""Finds the fleetbench program ("the bench") of a site, named by the page in the folder of the site.
 
 A folder of sites may have a page LATER.md that names the bench of the folder ("From now on the bench
 is ..."). For folders whose page names none, BENCH.md one folder up names the default bench. The pages
@@ -34,7 +34,7 @@
 
 
 def find_bench(site):
-    """Returns the path of the bench that plays `site`; raises SiteError if the site or the bench is missing."""
+    """Returns the path of the bench of `site`; raises SiteError if the site or the bench is missing."""
     if not os.path.isfile(site):
         raise SiteError(f"{site}: no such site")
     named, page = read_bench_name(site)
